--- a/src/libs/calls/call.cc
+++ b/src/libs/calls/call.cc
@@ -157,7 +157,7 @@
 
 bool Call::MaySend(Instant now) const {
   return !policy_.is_bound_to_server && !gave_up_ && now < give_up_at_ &&
-         attempts() < policy_.most_sends && Reached() < policy_.most_servers;
+         attempts() < policy_.most_sends && Reached() < policy_.max_servers;
 }
 
 int Call::Reached() const {
--- a/src/libs/calls/call_policy.h
+++ b/src/libs/calls/call_policy.h
@@ -17,7 +17,7 @@
   bool is_bound_to_server = false;
   // Servers that it may be handed to, and nodes that it may be sent to: one
   // that is sent back by a node before it reached a server may go on.
-  int most_servers = 3;
+  int max_servers = 3;
   int most_sends = 3;
   // A refusal by the server itself counts as a second attempt: the server saw
   // the request. False: it costs nothing.
--- a/src/libs/configuration/confirm_procedure.cc
+++ b/src/libs/configuration/confirm_procedure.cc
@@ -14,7 +14,9 @@
 
 ConfirmProcedure::ConfirmProcedure(ConfirmRequest request,
                                    base::Instant deadline)
-    : request_(std::move(request)), deadline_(deadline), pause_(kFirstPause) {}
+    : request_(std::move(request)),
+      deadline_(deadline),
+      backoff_(kFirstPause) {}
 
 ConfirmStep ConfirmProcedure::Start() {
   return ReadHead{};
@@ -22,42 +24,44 @@
 
 ConfirmStep ConfirmProcedure::OnHead(base::Instant now,
                                      const base::Result<StoredHead>& stored,
-                                     const Head& held,
-                                     uint64_t heard) {
+                                     const Head& local,
+                                     uint64_t greatest_reported) {
   if (!stored)
-    return TryAgain(now);
+    return RetryOrGiveUp(now);
   const Head& head = stored.value().head;
-  newest_ = head.revision >= held.revision ? head : held;
+  newest_head_ = head.revision >= local.revision ? head : local;
   const HistoryEntry* entry = head.FindPlan(request_.plan_id);
   if (!entry)
-    entry = held.FindPlan(request_.plan_id);
+    entry = local.FindPlan(request_.plan_id);
   if (entry) {
     // It is this run's own doing if this run swapped at all.
     const bool own = swap_.head.revision != 0 &&
                      entry->confirmed_at == request_.confirmed_at &&
                      entry->confirmed_by == request_.confirmed_by;
-    return End(
-        own ? ConfirmVerdict::kConfirmed : ConfirmVerdict::kConfirmedBefore,
+    return Finished(
+        own ? ConfirmOutcome::kConfirmed : ConfirmOutcome::kAlreadyConfirmed,
         entry->revision);
   }
   // A lower revision of the store is an old reading, and says nothing.
-  if (uncertain_ != kNone && stored.value().store_revision > uncertain_)
-    uncertain_ = kNone;
-  if (uncertain_ != kNone) {
-    if (stored.value().store_revision == uncertain_)
+  if (unresolved_swap_revision_ != kNone &&
+      stored.value().store_revision > unresolved_swap_revision_)
+    unresolved_swap_revision_ = kNone;
+  if (unresolved_swap_revision_ != kNone) {
+    if (stored.value().store_revision == unresolved_swap_revision_)
       return swap_;
-    return TryAgain(now);
+    return RetryOrGiveUp(now);
   }
   // This node is behind: what it would answer now could be wrong soon.
-  if (std::max(heard, request_.base_revision) > newest_.revision)
-    return TryAgain(now);
-  return Judge(now, stored.value());
+  if (std::max(greatest_reported, request_.base_revision) >
+      newest_head_.revision)
+    return RetryOrGiveUp(now);
+  return WriteIfCurrent(now, stored.value());
 }
 
-ConfirmStep ConfirmProcedure::Judge(base::Instant now,
-                                    const StoredHead& stored) {
-  if (newest_.revision != request_.base_revision)
-    return End(ConfirmVerdict::kStale, 0);
+ConfirmStep ConfirmProcedure::WriteIfCurrent(base::Instant now,
+                                             const StoredHead& stored) {
+  if (newest_head_.revision != request_.base_revision)
+    return Finished(ConfirmOutcome::kStale, 0);
   if (now >= deadline_)
     return GiveUp();
   HistoryEntry entry;
@@ -66,7 +70,7 @@
   entry.confirmed_at = request_.confirmed_at;
   swap_.expected_store_revision = stored.store_revision;
   swap_.head =
-      NextHead(newest_, MakeManifest(request_.texts), std::move(entry));
+      NextHead(newest_head_, MakeManifest(request_.texts), std::move(entry));
   if (documents_written_)
     return swap_;
   WriteDocuments write{MakeDocuments(request_.texts)};
@@ -77,7 +81,7 @@
 
 ConfirmStep ConfirmProcedure::OnDocuments(base::Instant now, bool all_written) {
   if (!all_written)
-    return TryAgain(now);
+    return RetryOrGiveUp(now);
   documents_written_ = true;
   return swap_;
 }
@@ -85,38 +89,40 @@
 ConfirmStep ConfirmProcedure::OnSwap(base::Instant now,
                                      const base::Result<bool>& swapped) {
   if (swapped && swapped.value()) {
-    newest_ = swap_.head;
-    return End(ConfirmVerdict::kConfirmed, swap_.head.revision);
+    newest_head_ = swap_.head;
+    return Finished(ConfirmOutcome::kConfirmed, swap_.head.revision);
   }
   // A plain no may be the answer to the second of two arrivals, of which the
   // first took effect: only a reading tells.
   const bool never_sent = !swapped && base::KindOf(swapped.error()) ==
                                           base::ErrorKind::kStoreUnavailable;
   if (!never_sent)
-    uncertain_ = swap_.expected_store_revision;
-  return TryAgain(now);
+    unresolved_swap_revision_ = swap_.expected_store_revision;
+  return RetryOrGiveUp(now);
 }
 
-ConfirmStep ConfirmProcedure::OnPause() {
+ConfirmStep ConfirmProcedure::OnBackoffElapsed() {
   return ReadHead{};
 }
 
-ConfirmStep ConfirmProcedure::TryAgain(base::Instant now) {
+ConfirmStep ConfirmProcedure::RetryOrGiveUp(base::Instant now) {
   if (now >= deadline_)
     return GiveUp();
-  const Pause pause{pause_};
-  pause_ = std::min(2 * pause_, kLongestPause);
+  const Backoff pause{backoff_};
+  backoff_ = std::min(2 * backoff_, kLongestPause);
   return pause;
 }
 
 ConfirmStep ConfirmProcedure::GiveUp() const {
-  return End(uncertain_ == kNone ? ConfirmVerdict::kUnavailable
-                                 : ConfirmVerdict::kUnknown,
-             0);
+  return Finished(unresolved_swap_revision_ == kNone
+                      ? ConfirmOutcome::kUnavailable
+                      : ConfirmOutcome::kUnknown,
+                  0);
 }
 
-Finish ConfirmProcedure::End(ConfirmVerdict verdict, uint64_t revision) const {
-  return {verdict, revision, newest_};
+Finish ConfirmProcedure::Finished(ConfirmOutcome outcome,
+                                  uint64_t revision) const {
+  return {outcome, revision, newest_head_};
 }
 
 }  // namespace chestnutport::configuration
--- a/src/libs/configuration/confirm_procedure.h
+++ b/src/libs/configuration/confirm_procedure.h
@@ -30,9 +30,9 @@
   int64_t as_of = 0;           // The store's own revision then, if it says so.
 };
 
-enum class ConfirmVerdict {
+enum class ConfirmOutcome {
   kConfirmed,
-  kConfirmedBefore,
+  kAlreadyConfirmed,
   kStale,        // Another configuration is in force; nothing was changed.
   kUnavailable,  // The store did not answer; nothing was changed.
   kUnknown,      // The store may have taken the change.
@@ -47,16 +47,16 @@
   int64_t expected_store_revision = 0;
   Head head;
 };
-struct Pause {
+struct Backoff {
   base::Duration duration{};
 };
 struct Finish {
-  ConfirmVerdict verdict = ConfirmVerdict::kUnknown;
+  ConfirmOutcome outcome = ConfirmOutcome::kUnknown;
   uint64_t revision = 0;  // Of the confirmation, if it was confirmed.
   Head head;              // The newest that was seen.
 };
 using ConfirmStep =
-    std::variant<ReadHead, WriteDocuments, SwapHead, Pause, Finish>;
+    std::variant<ReadHead, WriteDocuments, SwapHead, Backoff, Finish>;
 
 // A confirmation whose answer was lost is told apart by sending the same
 // compare-and-swap again: it can take effect once only, because it changes the
@@ -72,28 +72,28 @@
   // node was heard to hold.
   ConfirmStep OnHead(base::Instant now,
                      const base::Result<StoredHead>& stored,
-                     const Head& held,
-                     uint64_t heard);
+                     const Head& local,
+                     uint64_t greatest_reported);
   ConfirmStep OnDocuments(base::Instant now, bool all_written);
   ConfirmStep OnSwap(base::Instant now, const base::Result<bool>& swapped);
-  ConfirmStep OnPause();
+  ConfirmStep OnBackoffElapsed();
 
   const ConfirmRequest& request() const { return request_; }
 
  private:
-  ConfirmStep Judge(base::Instant now, const StoredHead& stored);
-  ConfirmStep TryAgain(base::Instant now);
+  ConfirmStep WriteIfCurrent(base::Instant now, const StoredHead& stored);
+  ConfirmStep RetryOrGiveUp(base::Instant now);
   ConfirmStep GiveUp() const;
-  Finish End(ConfirmVerdict verdict, uint64_t revision) const;
+  Finish Finished(ConfirmOutcome outcome, uint64_t revision) const;
 
   ConfirmRequest request_;
   base::Instant deadline_;
-  base::Duration pause_;
-  Head newest_;  // Of the store and of this node.
+  base::Duration backoff_;
+  Head newest_head_;  // Of the store and of this node.
   SwapHead swap_;
   bool documents_written_ = false;
   // The store's revision that a swap with a lost answer compared; -1: none.
-  int64_t uncertain_ = -1;
+  int64_t unresolved_swap_revision_ = -1;
 };
 
 }  // namespace chestnutport::configuration
--- a/src/libs/configuration/watch_round.h
+++ b/src/libs/configuration/current_watch.h
@@ -1,6 +1,6 @@
 // Which of a reader's watches of the store is heard.
-#ifndef CONFIGURATION_WATCH_ROUND_H_
-#define CONFIGURATION_WATCH_ROUND_H_
+#ifndef CONFIGURATION_CURRENT_WATCH_H_
+#define CONFIGURATION_CURRENT_WATCH_H_
 
 #include <cstdint>
 #include <utility>
@@ -8,7 +8,7 @@
 namespace chestnutport::configuration {
 
 // A watch that was given up still ends some time, and is not heard then.
-class WatchRound {
+class CurrentWatch {
  public:
   // A watch begins in place of any other. Returns its number.
   uint64_t Begin() {
@@ -20,7 +20,7 @@
     return number == last_ && std::exchange(is_open_, false);
   }
   // Returns whether there was a watch to be given up.
-  bool GiveUp() { return std::exchange(is_open_, false); }
+  bool Abandon() { return std::exchange(is_open_, false); }
 
  private:
   uint64_t last_ = 0;
@@ -29,4 +29,4 @@
 
 }  // namespace chestnutport::configuration
 
-#endif  // CONFIGURATION_WATCH_ROUND_H_
+#endif  // CONFIGURATION_CURRENT_WATCH_H_
--- a/src/libs/configuration/fetch.cc
+++ b/src/libs/configuration/fetch.cc
@@ -24,7 +24,7 @@
   return FetchRequest{have->get<uint64_t>()};
 }
 
-std::string FetchAnswer::ToJson() const {
+std::string FetchResponse::ToJson() const {
   json object = {{"revision", revision}};
   if (head) {
     // As text, so that whatever a newer version wrote into it arrives as is.
@@ -34,12 +34,12 @@
   return object.dump();
 }
 
-std::optional<FetchAnswer> FetchAnswer::FromJson(std::string_view text) {
+std::optional<FetchResponse> FetchResponse::FromJson(std::string_view text) {
   const json object = json::parse(text, nullptr, false);
   if (!object.is_object())
     return std::nullopt;
   try {
-    FetchAnswer answer;
+    FetchResponse answer;
     answer.revision = object.at("revision").get<uint64_t>();
     if (!object.contains("head"))
       return answer;
@@ -59,23 +59,23 @@
   }
 }
 
-FetchAnswer AnswerFetch(const FetchRequest& request,
-                        const HeldConfiguration& held,
-                        PackedDocuments& packed) {
-  FetchAnswer answer{held.head().revision, std::nullopt, {}, {}};
-  if (held.head().revision <= request.have)
+FetchResponse MakeFetchResponse(const FetchRequest& request,
+                                const LocalConfiguration& local,
+                                PackedDocumentCache& packed) {
+  FetchResponse answer{local.head().revision, std::nullopt, {}, {}};
+  if (local.head().revision <= request.have)
     return answer;
-  answer.head = held.head();
+  answer.head = local.head();
   Manifest known;
   if (request.have != 0)
-    known = ManifestAt(held.head(), request.have).value_or(Manifest{});
-  for (const auto& [service, hash] : held.head().manifest) {
+    known = ManifestAt(local.head(), request.have).value_or(Manifest{});
+  for (const auto& [service, hash] : local.head().manifest) {
     const auto before = known.find(service);
     if (before == known.end() || before->second != hash)
       answer.packed[hash] =
-          packed.Pack(hash, held.documents().find(hash)->second);
+          packed.Pack(hash, local.documents().find(hash)->second);
   }
-  packed.KeepOnly(held.documents());
+  packed.RetainOnly(local.documents());
   return answer;
 }
 
--- a/src/libs/configuration/fetch.h
+++ b/src/libs/configuration/fetch.h
@@ -11,8 +11,8 @@
 
 #include "configuration/documents.h"
 #include "configuration/head.h"
-#include "configuration/held_configuration.h"
-#include "configuration/packed_documents.h"
+#include "configuration/local_configuration.h"
+#include "configuration/packed_document_cache.h"
 
 namespace chestnutport::configuration {
 
@@ -25,7 +25,7 @@
   static std::optional<FetchRequest> FromJson(std::string_view text);
 };
 
-struct FetchAnswer {
+struct FetchResponse {
   uint64_t revision = 0;  // What the answerer holds.
   // Only if it is newer than what the asker holds: the head, and the documents
   // that the asker lacks.
@@ -34,12 +34,12 @@
   Documents documents;  // Unpacked, once it was read.
 
   std::string ToJson() const;
-  static std::optional<FetchAnswer> FromJson(std::string_view text);
+  static std::optional<FetchResponse> FromJson(std::string_view text);
 };
 
-FetchAnswer AnswerFetch(const FetchRequest& request,
-                        const HeldConfiguration& held,
-                        PackedDocuments& packed);
+FetchResponse MakeFetchResponse(const FetchRequest& request,
+                                const LocalConfiguration& local,
+                                PackedDocumentCache& packed);
 
 }  // namespace chestnutport::configuration
 
--- a/src/libs/configuration/head.cc
+++ b/src/libs/configuration/head.cc
@@ -156,12 +156,12 @@
 }
 
 void BoundHistory(std::vector<HistoryEntry>& history) {
-  if (history.size() > kHistoryLength)
-    history.erase(history.begin(), history.end() - kHistoryLength);
+  if (history.size() > kMaxHistoryEntries)
+    history.erase(history.begin(), history.end() - kMaxHistoryEntries);
   size_t detail = 0;
   for (auto entry = history.rbegin(); entry != history.rend(); ++entry) {
     detail += entry->changed.size();
-    if (detail > kHistoryDetail) {
+    if (detail > kMaxHistoryServices) {
       entry->changed.clear();
       entry->forgotten = true;
     }
--- a/src/libs/configuration/head.h
+++ b/src/libs/configuration/head.h
@@ -23,8 +23,8 @@
 
 // Confirmations that a head remembers, and the services that they may name
 // altogether; older confirmations keep who and when but lose what.
-inline constexpr size_t kHistoryLength = 50;
-inline constexpr size_t kHistoryDetail = 1000;
+inline constexpr size_t kMaxHistoryEntries = 50;
+inline constexpr size_t kMaxHistoryServices = 1000;
 
 struct Head {
   uint64_t revision = 0;  // Zero: nothing was ever confirmed.
@@ -52,7 +52,7 @@
 // nothing if the history does not reach that far.
 std::optional<Manifest> ManifestAt(const Head& head, uint64_t revision);
 
-// Forgets what is beyond kHistoryLength and kHistoryDetail.
+// Forgets what is beyond kMaxHistoryEntries and kMaxHistoryServices.
 void BoundHistory(std::vector<HistoryEntry>& history);
 
 // The key of a fleet's head in the store.
--- a/src/libs/configuration/fleet_contact.h
+++ b/src/libs/configuration/isolation_detector.h
@@ -1,6 +1,6 @@
 // Whether this node hears from other nodes. Pure: times are passed in.
-#ifndef CONFIGURATION_FLEET_CONTACT_H_
-#define CONFIGURATION_FLEET_CONTACT_H_
+#ifndef CONFIGURATION_ISOLATION_DETECTOR_H_
+#define CONFIGURATION_ISOLATION_DETECTOR_H_
 
 #include <optional>
 
@@ -11,11 +11,12 @@
 // A node that is cut off from all others still has to hold what operators
 // confirm, and members are held for alive for seconds after they fell silent.
 // So it reads the store itself as soon as nothing is heard any more.
-class FleetContact {
+class IsolationDetector {
  public:
   // Two probes of its own in a row are not answered in this time, and no other
   // node has sent one.
-  static constexpr base::Duration kSilence = std::chrono::milliseconds(500);
+  static constexpr base::Duration kIsolationTimeout =
+      std::chrono::milliseconds(500);
   // Between two checks. It takes two that find silence: a process that was
   // stopped finds it at once as it goes on, and hears from others soon.
   static constexpr base::Duration kCheckInterval =
@@ -26,12 +27,12 @@
   void Check(std::optional<base::Instant> heard_at, base::Instant now);
 
   // By the last two checks.
-  bool is_cut_off() const { return silent_checks_ > 1; }
+  bool is_isolated() const { return failed_checks_ > 1; }
 
  private:
-  int silent_checks_ = 0;  // In a row.
+  int failed_checks_ = 0;  // In a row.
 };
 
 }  // namespace chestnutport::configuration
 
-#endif  // CONFIGURATION_FLEET_CONTACT_H_
+#endif  // CONFIGURATION_ISOLATION_DETECTOR_H_
--- a/src/libs/configuration/held_configuration.cc
+++ b/src/libs/configuration/local_configuration.cc
@@ -1,26 +1,27 @@
-#include "configuration/held_configuration.h"
+#include "configuration/local_configuration.h"
 
 #include <set>
 
 namespace chestnutport::configuration {
 
-Adoption HeldConfiguration::Offer(const Head& head, const Documents& added) {
+ApplyResult LocalConfiguration::Apply(const Head& head,
+                                      const Documents& added) {
   if (head.revision <= head_.revision)
-    return Adoption::kNotNewer;
+    return ApplyResult::kNotNewer;
   for (const auto& [hash, text] : added) {
     if (DocumentHash(text) != hash)
-      return Adoption::kIncomplete;
+      return ApplyResult::kIncomplete;
   }
   // Documents are kept even if some are still missing: they do not change.
   documents_.insert(added.begin(), added.end());
   if (!MissingDocuments(head.manifest, documents_).empty())
-    return Adoption::kIncomplete;
+    return ApplyResult::kIncomplete;
   head_ = head;
-  ForgetUnused();
-  return Adoption::kAdopted;
+  EvictUnusedDocuments();
+  return ApplyResult::kApplied;
 }
 
-void HeldConfiguration::ForgetUnused() {
+void LocalConfiguration::EvictUnusedDocuments() {
   std::set<std::string, std::less<>> used;
   for (const auto& [service, hash] : head_.manifest)
     used.insert(hash);
--- a/src/libs/configuration/packed_documents.cc
+++ b/src/libs/configuration/packed_document_cache.cc
@@ -1,4 +1,4 @@
-#include "configuration/packed_documents.h"
+#include "configuration/packed_document_cache.h"
 
 #include <zlib.h>
 
@@ -53,15 +53,15 @@
   return text;
 }
 
-const std::string& PackedDocuments::Pack(const std::string& hash,
-                                         std::string_view text) {
+const std::string& PackedDocumentCache::Pack(const std::string& hash,
+                                             std::string_view text) {
   auto& packed = packed_[hash];
   if (packed.empty())
     packed = PackDocument(text);
   return packed;
 }
 
-void PackedDocuments::KeepOnly(const Documents& documents) {
+void PackedDocumentCache::RetainOnly(const Documents& documents) {
   std::erase_if(packed_, [&](const auto& item) {
     return !documents.contains(item.first);
   });
--- a/src/libs/configuration/packed_documents.h
+++ b/src/libs/configuration/packed_document_cache.h
@@ -1,8 +1,8 @@
 // Documents as they travel between nodes: compressed, in base64. A
 // configuration of a thousand routes is a few hundred kilobytes of much the
 // same words, and a node's link may be ten megabits a second.
-#ifndef CONFIGURATION_PACKED_DOCUMENTS_H_
-#define CONFIGURATION_PACKED_DOCUMENTS_H_
+#ifndef CONFIGURATION_PACKED_DOCUMENT_CACHE_H_
+#define CONFIGURATION_PACKED_DOCUMENT_CACHE_H_
 
 #include <map>
 #include <optional>
@@ -18,12 +18,12 @@
 std::optional<std::string> UnpackDocument(std::string_view packed);
 
 // Packs each document once, however many nodes ask for it.
-class PackedDocuments {
+class PackedDocumentCache {
  public:
   // The packed form of `text`, whose hash is `hash`.
   const std::string& Pack(const std::string& hash, std::string_view text);
   // Forgets what `documents` does not hold any more.
-  void KeepOnly(const Documents& documents);
+  void RetainOnly(const Documents& documents);
 
   size_t size() const { return packed_.size(); }
 
@@ -33,4 +33,4 @@
 
 }  // namespace chestnutport::configuration
 
-#endif  // CONFIGURATION_PACKED_DOCUMENTS_H_
+#endif  // CONFIGURATION_PACKED_DOCUMENT_CACHE_H_
--- a/src/libs/configuration/plan.cc
+++ b/src/libs/configuration/plan.cc
@@ -31,16 +31,16 @@
   return services;
 }
 
-TouchedService Touch(const std::string& service,
-                     const std::vector<Change>& changes) {
-  TouchedService touched{service, {}};
+AffectedService Touch(const std::string& service,
+                      const std::vector<Change>& changes) {
+  AffectedService affected{service, {}};
   const bool only_tenants = std::ranges::all_of(
       changes, [](const Change& c) { return c.section == kTenants; });
   if (!only_tenants)
-    return touched;
+    return affected;
   for (const Change& change : changes)
-    touched.tenants.insert(change.key);
-  return touched;
+    affected.tenants.insert(change.key);
+  return affected;
 }
 
 }  // namespace
@@ -53,7 +53,7 @@
         service, FindText(base.texts, service), FindText(wanted, service));
     if (changes.empty())
       continue;
-    plan.touched.push_back(Touch(service, changes));
+    plan.affected.push_back(Touch(service, changes));
     std::ranges::copy(changes, std::back_inserter(plan.changes));
   }
   return plan;
--- a/src/libs/configuration/plan.h
+++ b/src/libs/configuration/plan.h
@@ -15,7 +15,7 @@
 namespace chestnutport::configuration {
 
 // A service that a plan changes, and whom that concerns.
-struct TouchedService {
+struct AffectedService {
   std::string service;
   // The tenants whose requests it concerns. Empty: all of the service's.
   std::set<std::string> tenants;
@@ -27,7 +27,7 @@
   std::string id;
   uint64_t base_revision = 0;
   std::vector<Change> changes;
-  std::vector<TouchedService> touched;
+  std::vector<AffectedService> affected;
 };
 
 Plan MakePlan(const declarations::Configuration& base,
--- a/src/libs/configuration/read_pace.cc
+++ b/src/libs/configuration/read_timing.cc
@@ -1,4 +1,4 @@
-#include "configuration/read_pace.h"
+#include "configuration/read_timing.h"
 
 #include <algorithm>
 #include <cmath>
@@ -19,26 +19,26 @@
 
 }  // namespace
 
-base::Duration ReadPace::First(base::Random& random) const {
+base::Duration ReadTiming::FirstReadDelay(base::Random& random) const {
   const base::Duration spread =
-      std::min(kFirstReadSpread, longest_ / kSpreadPart);
+      std::min(kFirstReadJitter, max_interval_ / kSpreadPart);
   const double part = std::cbrt(std::uniform_real_distribution<>(0, 1)(random));
   return std::chrono::duration_cast<base::Duration>(part * spread);
 }
 
-base::Duration ReadPace::Next(bool read_failed,
-                              bool is_alone,
-                              size_t failing,
-                              base::Random& random) {
+base::Duration ReadTiming::NextReadDelay(bool read_failed,
+                                         bool is_alone,
+                                         size_t failing_nodes,
+                                         base::Random& random) {
   if (read_failed || is_alone)
-    interval_ = std::min(2 * interval_, longest_);
+    interval_ = std::min(2 * interval_, max_interval_);
   else
     interval_ = kReadInterval;
   const base::Duration interval =
-      read_failed
-          ? std::max<base::Duration>(
-                interval_, static_cast<int64_t>(failing) * kBetweenVainTries)
-          : interval_;
+      read_failed ? std::max<base::Duration>(
+                        interval_, static_cast<int64_t>(failing_nodes) *
+                                       kFleetRetryInterval)
+                  : interval_;
   // Jitter only shortens the wait after a failure, and lengthens none: a
   // healthy reader makes at most one call in kReadInterval.
   if (interval == kReadInterval)
@@ -46,18 +46,19 @@
   return Draw(interval / 2, interval, random);
 }
 
-WatchTimes ReadPace::Watch(bool is_alert, base::Random& random) const {
+WatchDurations ReadTiming::DrawWatch(bool has_short_watches,
+                                     base::Random& random) const {
   const auto draw = [&random](base::Duration least, base::Duration most) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
         Draw(least, most, random));
   };
-  if (is_alert)
-    return {draw(alert_watch_ * 3 / 4, alert_watch_), kAlertPatience};
-  return {draw(kShortestWatch, kLongestWatch), kWatchPatience};
+  if (has_short_watches)
+    return {draw(max_short_watch_ * 3 / 4, max_short_watch_), kShortWatchGrace};
+  return {draw(kMinLongWatch, kMaxLongWatch), kLongWatchGrace};
 }
 
-base::Duration ReadPace::Again(base::Random& random) {
-  return Draw({}, kReadAgainSpread, random);
+base::Duration ReadTiming::RereadDelay(base::Random& random) {
+  return Draw({}, kRereadJitter, random);
 }
 
 }  // namespace chestnutport::configuration
--- a/src/libs/configuration/repair.cc
+++ b/src/libs/configuration/repair.cc
@@ -33,15 +33,16 @@
 
 }  // namespace
 
-std::optional<Head> RepairStore(const Head& stored, const Head& held) {
-  if (stored.revision > held.revision || held.revision == 0)
+std::optional<Head> RepairStore(const Head& stored, const Head& local) {
+  if (stored.revision > local.revision || local.revision == 0)
     return std::nullopt;
-  if (stored.revision < held.revision)
-    return Overrule(held, stored);
-  if (stored.manifest == held.manifest && Order(stored) == Order(held))
+  if (stored.revision < local.revision)
+    return Overrule(local, stored);
+  if (stored.manifest == local.manifest && Order(stored) == Order(local))
     return std::nullopt;
-  const bool stored_is_later = Order(stored) > Order(held);
-  Head head = stored_is_later ? Overrule(stored, held) : Overrule(held, stored);
+  const bool stored_is_later = Order(stored) > Order(local);
+  Head head =
+      stored_is_later ? Overrule(stored, local) : Overrule(local, stored);
   ++head.revision;
   return head;
 }
--- a/src/libs/configuration/repair.h
+++ b/src/libs/configuration/repair.h
@@ -13,7 +13,7 @@
 // revision stands. Two different heads of one revision become one of the next,
 // with the content of the later confirmation. A confirmation that gives way is
 // kept in the history, marked as overruled.
-std::optional<Head> RepairStore(const Head& stored, const Head& held);
+std::optional<Head> RepairStore(const Head& stored, const Head& local);
 
 }  // namespace chestnutport::configuration
 
--- a/src/libs/configuration/revision_lag.h
+++ b/src/libs/configuration/revision_lag.h
@@ -11,7 +11,7 @@
 class RevisionLag {
  public:
   // The store or another node holds `revision`.
-  void OnHeard(uint64_t revision, base::Instant now);
+  void OnRevisionReported(uint64_t revision, base::Instant now);
   // Returns for how long a newer revision than the one before was known.
   base::Duration OnInForce(uint64_t revision, base::Instant now);
 
@@ -19,11 +19,11 @@
   base::Duration Behind(base::Instant now) const;
 
  private:
-  bool IsBehind() const { return greatest_heard_ > in_force_; }
+  bool IsBehind() const { return greatest_reported_ > in_force_; }
 
   uint64_t in_force_ = 0;
-  uint64_t greatest_heard_ = 0;
-  base::Instant greatest_heard_at_;
+  uint64_t greatest_reported_ = 0;
+  base::Instant greatest_reported_at_;
   base::Instant behind_since_;
 };
 
--- a/src/libs/declarations/route_declaration.cc
+++ b/src/libs/declarations/route_declaration.cc
@@ -6,7 +6,7 @@
 
 namespace chestnutport::declarations {
 
-const std::string& RouteDeclaration::Draw(base::Random& random) const {
+const std::string& RouteDeclaration::PickService(base::Random& random) const {
   static const std::string none;
   if (targets.empty())
     return none;
--- a/src/libs/declarations/route_declaration.h
+++ b/src/libs/declarations/route_declaration.h
@@ -24,12 +24,12 @@
   base::Duration timeout{};         // A caller waits no longer than this.
   base::Duration target_latency{};  // An answer is worth most until then.
   int urgency = 1;                  // A lower one goes first.
-  int most_servers = 1;             // That one request may be handed to.
+  int max_servers = 1;              // That one request may be handed to.
   std::vector<RouteTarget> targets;
   std::vector<std::string> regions;  // Where a request may run; empty: any.
 
   // A service by the weights; empty if there are no targets.
-  const std::string& Draw(base::Random& random) const;
+  const std::string& PickService(base::Random& random) const;
 };
 
 // The name of the class of requests with an urgency.
--- a/src/libs/declarations/service_declaration.cc
+++ b/src/libs/declarations/service_declaration.cc
@@ -140,7 +140,7 @@
 
 bool ReadKeyRecord(ServiceDeclaration& service, std::string_view text) {
   service.key_record =
-      text == "store" ? KeyRecordPlace::kStore : KeyRecordPlace::kOwner;
+      text == "store" ? KeyRecordLocation::kStore : KeyRecordLocation::kOwner;
   return text == "store" || text == "owner";
 }
 
--- a/src/libs/declarations/service_declaration.h
+++ b/src/libs/declarations/service_declaration.h
@@ -31,7 +31,7 @@
 };
 
 // Where the record of idempotency keys of a service is kept.
-enum class KeyRecordPlace {
+enum class KeyRecordLocation {
   kOwner,  // In the memory of the node that owns the key.
   kStore,  // In the platform's store: a write for each keyed request.
 };
@@ -55,7 +55,7 @@
   // Requests a second that a cold server tolerates; zero: as many as a warm
   // one.
   double cold_rate = 0;
-  KeyRecordPlace key_record = KeyRecordPlace::kOwner;
+  KeyRecordLocation key_record = KeyRecordLocation::kOwner;
   // Where a server tells how it is; empty: it says so when it announces itself.
   std::string health_path;
   // Without an answer for so long, a server is probed.
@@ -69,7 +69,7 @@
   // Of its slots, the share that a server is given at most: some slow down when
   // they are nearly full.
   double usable_slots = 1;
-  int most_connections = 0;  // That a server accepts; zero: it is not known.
+  int max_connections = 0;  // That a server accepts; zero: it is not known.
   std::vector<ClassDeclaration> classes;
   std::vector<TenantDeclaration> tenants;  // Empty: any tenant, equal shares.
 
--- a/src/libs/duties/seed_search.cc
+++ b/src/libs/duties/seed_search.cc
@@ -28,8 +28,8 @@
 
 }  // namespace
 
-SeedSearch::SeedSearch(bool counts_old_listings, Duration longest_wait)
-    : counts_old_listings_(counts_old_listings),
+SeedSearch::SeedSearch(bool counts_stale_listings, Duration longest_wait)
+    : counts_old_listings_(counts_stale_listings),
       longest_wait_(std::min<Duration>(longest_wait, kLongestBackoff)),
       backoff_(FirstBackoff()),
       greeting_(kFirstGreeting) {}
@@ -41,7 +41,7 @@
 SeedSearch::Listing SeedSearch::Next(bool is_alone) {
   const bool is_first = !std::exchange(has_listed_, true);
   const bool may_be_old = !is_alone || (is_first && !counts_old_listings_);
-  return may_be_old ? Listing::kMayBeOld : Listing::kLatest;
+  return may_be_old ? Listing::kMayBeStale : Listing::kLatest;
 }
 
 Duration SeedSearch::Wait(bool is_alone, base::Random& random) {
--- a/src/libs/duties/seed_search.h
+++ b/src/libs/duties/seed_search.h
@@ -21,10 +21,10 @@
   // Between two listings of a node that keeps an entry.
   static constexpr std::chrono::seconds kDutyInterval{5};
 
-  enum class Listing { kMayBeOld, kLatest };
+  enum class Listing { kMayBeStale, kLatest };
 
   // `longest_wait`: between two listings of a node that is alone.
-  SeedSearch(bool counts_old_listings, base::Duration longest_wait);
+  SeedSearch(bool counts_stale_listings, base::Duration longest_wait);
 
   // Until the first listing.
   base::Duration FirstWait(base::Random& random) const;
--- /dev/null
+++ b/src/libs/evacuation/local_evacuations.cc
@@ -0,0 +1,29 @@
+#include "evacuation/local_evacuations.h"
+
+namespace chestnutport::evacuation {
+
+bool LocalEvacuations::OnStoreRead(const Evacuations& read) {
+  if (read.as_of <= store_read_as_of_ || read.as_of <= current_.as_of)
+    return false;
+  store_read_as_of_ = read.as_of;
+  // Told only where it changes something: else each reading would go round the
+  // fleet.
+  if (read.data_centres == current_.data_centres)
+    return false;
+  current_ = read;
+  return true;
+}
+
+bool LocalEvacuations::OnPeerReport(const Evacuations& reported) {
+  if (reported.as_of <= current_.as_of)
+    return false;
+  if (reported.as_of > store_read_as_of_) {
+    current_ = reported;
+    return true;
+  }
+  // The other holds what ended before this node read the store.
+  current_.as_of = store_read_as_of_;
+  return true;
+}
+
+}  // namespace chestnutport::evacuation
--- a/src/libs/evacuation_store/evacuation_change.cc
+++ b/src/libs/evacuation_store/evacuation_change.cc
@@ -7,21 +7,22 @@
 
 namespace chestnutport::evacuation_store {
 
-bool EvacuationChange::IsDone(const DataCentres& now) const {
-  const bool is_listed = std::ranges::find(now, data_centre) != now.end();
+bool EvacuationChange::IsInEffect(const DataCentres& current) const {
+  const bool is_listed =
+      std::ranges::find(current, data_centre) != current.end();
   return is_listed == is_evacuated;
 }
 
-DataCentres EvacuationChange::Apply(DataCentres now) const {
-  std::erase(now, data_centre);
+DataCentres EvacuationChange::Apply(DataCentres current) const {
+  std::erase(current, data_centre);
   if (is_evacuated)
-    now.push_back(data_centre);
-  std::ranges::sort(now);
-  return now;
+    current.push_back(data_centre);
+  std::ranges::sort(current);
+  return current;
 }
 
-std::string EvacuationChange::PlanId(const DataCentres& now) const {
-  DataCentres sorted = now;
+std::string EvacuationChange::PlanId(const DataCentres& current) const {
+  DataCentres sorted = current;
   std::ranges::sort(sorted);
   return absl::StrCat(is_evacuated ? "evacuate-" : "readmit-", data_centre,
                       "-beside-",
--- a/src/libs/evacuation_store/evacuation_change.h
+++ b/src/libs/evacuation_store/evacuation_change.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "evacuation_store/evacuation_form.h"
+#include "evacuation_store/evacuation_format.h"
 
 namespace chestnutport::evacuation_store {
 
@@ -13,12 +13,12 @@
   bool is_evacuated = true;  // False: its servers are to take work again.
 
   // Whether nothing is left to do.
-  bool IsDone(const DataCentres& now) const;
+  bool IsInEffect(const DataCentres& current) const;
   // What is evacuated afterwards, in order.
-  DataCentres Apply(DataCentres now) const;
+  DataCentres Apply(DataCentres current) const;
   // Names the change and all that is evacuated when it is planned, so that a
   // plan cannot be confirmed that was made of something else.
-  std::string PlanId(const DataCentres& now) const;
+  std::string PlanId(const DataCentres& current) const;
 };
 
 }  // namespace chestnutport::evacuation_store
--- a/src/libs/evacuation_store/evacuation_reader.cc
+++ b/src/libs/evacuation_store/evacuation_reader.cc
@@ -26,35 +26,35 @@
 
 EvacuationReader::EvacuationReader(net::EventLoop& loop,
                                    store::StoreClient& store,
-                                   AnyEvacuationForm form,
-                                   base::Duration longest_wait,
+                                   AnyEvacuationFormat format,
+                                   base::Duration max_read_interval,
                                    const base::Random& random,
                                    Handler read)
     : loop_(loop),
       store_(store),
-      form_(std::move(form)),
+      format_(std::move(format)),
       random_(random),
-      read_(std::move(read)),
-      pace_(longest_wait, configuration::kAlertEvacuationWatch) {}
+      on_read_(std::move(read)),
+      timing_(max_read_interval, configuration::kMaxShortEvacuationWatch) {}
 
 EvacuationReader::~EvacuationReader() {
   loop_.Cancel(timer_);
 }
 
 void EvacuationReader::Start() {
-  Schedule(kFirstWait + pace_.First(random_));
+  Schedule(kFirstWait + timing_.FirstReadDelay(random_));
 }
 
 void EvacuationReader::SetMembers(
     const membership::Member& self,
     const std::vector<membership::Member>& members) {
   const auto reason = role_.SetMembers(self, members);
-  if (reason != configuration::ReadSoon::kNo && watch_.GiveUp())
+  if (reason != configuration::ReadTrigger::kNone && watch_.Abandon())
     ScheduleSoon();
 }
 
 void EvacuationReader::ReadNow() {
-  store_.ListPage(form_.prefix, [this](const auto& page) {
+  store_.ListPage(format_.prefix, [this](const auto& page) {
     if (page)
       OnPage(page);
   });
@@ -66,17 +66,17 @@
 }
 
 void EvacuationReader::ScheduleSoon() {
-  Schedule(configuration::ReadPace::Again(random_));
+  Schedule(configuration::ReadTiming::RereadDelay(random_));
 }
 
 void EvacuationReader::Read() {
   if (!role_.is_reader()) {
-    EndRound(false);
+    FinishRound(false);
     return;
   }
-  store_.ListPage(form_.prefix, [this](const auto& page) {
+  store_.ListPage(format_.prefix, [this](const auto& page) {
     if (!page) {
-      EndRound(true);
+      FinishRound(true);
       return;
     }
     OnPage(page);
@@ -87,49 +87,50 @@
         store_.CanWatch())
       Watch(page.value().as_of);
     else
-      EndRound(false);
+      FinishRound(false);
   });
 }
 
 void EvacuationReader::OnPage(const base::Result<store::StorePage>& page) {
-  const auto names = form_.read(page.value().entries);
+  const auto names = format_.read(page.value().entries);
   const Evacuations read{static_cast<uint64_t>(page.value().as_of),
                          names ? Sorted(*names) : DataCentres()};
   const bool is_unreadable =
-      !names || read.NameBytes() > Evacuations::kLargestNames;
+      !names || read.NameBytes() > Evacuations::kMaxNameBytes;
   // What is held stays: an evacuation must not end by a fault of its writer.
   if (!std::exchange(is_unreadable_, is_unreadable) && is_unreadable)
-    LogEvent(Event::kStoreEntryUnreadable, {{"key", form_.prefix}});
+    LogEvent(Event::kStoreEntryUnreadable, {{"key", format_.prefix}});
   if (!is_unreadable)
-    read_(read);
+    on_read_(read);
 }
 
 void EvacuationReader::Watch(int64_t after) {
-  const auto times = pace_.Watch(role_.is_alert(), random_);
-  store_.Watch(form_.prefix, after, times.wait, times.patience,
-               [this, after, watch = watch_.Begin()](const auto& news) {
+  const auto times = timing_.DrawWatch(role_.has_short_watches(), random_);
+  store_.Watch(format_.prefix, after, times.wait, times.grace,
+               [this, after, watch = watch_.Begin()](const auto& changes) {
                  if (watch_.End(watch))
-                   OnWatched(after, news);
+                   OnWatchEnded(after, changes);
                });
 }
 
-void EvacuationReader::OnWatched(int64_t after,
-                                 const base::Result<store::StoreNews>& news) {
-  if (!news || news.value().history_lost) {
+void EvacuationReader::OnWatchEnded(
+    int64_t after,
+    const base::Result<store::StoreChanges>& changes) {
+  if (!changes || changes.value().changes_missed) {
     ScheduleSoon();
     return;
   }
   const bool is_quiet =
-      news.value().changed.empty() && news.value().removed == 0;
+      changes.value().changed.empty() && changes.value().removed == 0;
   if (is_quiet && role_.is_reader())
-    Watch(std::max(after, news.value().as_of));
+    Watch(std::max(after, changes.value().as_of));
   else
     Read();
 }
 
-void EvacuationReader::EndRound(bool failed) {
-  Schedule(
-      pace_.Next(failed, role_.is_alone(), role_.lost_members() + 1, random_));
+void EvacuationReader::FinishRound(bool failed) {
+  Schedule(timing_.NextReadDelay(failed, role_.is_alone(),
+                                 role_.members_without_store() + 1, random_));
 }
 
 }  // namespace chestnutport::evacuation_store
--- a/src/libs/evacuation_store/evacuation_reader.h
+++ b/src/libs/evacuation_store/evacuation_reader.h
@@ -8,11 +8,11 @@
 
 #include "base/random.h"
 #include "base/time.h"
-#include "configuration/read_pace.h"
+#include "configuration/current_watch.h"
+#include "configuration/read_timing.h"
 #include "configuration/reader_role.h"
-#include "configuration/watch_round.h"
 #include "evacuation/evacuations.h"
-#include "evacuation_store/evacuation_form.h"
+#include "evacuation_store/evacuation_format.h"
 #include "membership/member.h"
 #include "net/event_loop.h"
 #include "store/store_client.h"
@@ -23,12 +23,12 @@
  public:
   using Handler = std::function<void(const evacuation::Evacuations&)>;
 
-  // `loop` and `store` must outlive the reader. `longest_wait`: between two
-  // tries while the store fails. `read` is called with each reading.
+  // `loop` and `store` must outlive the reader. `max_read_interval`: between
+  // two tries while the store fails. `read` is called with each reading.
   EvacuationReader(net::EventLoop& loop,
                    store::StoreClient& store,
-                   AnyEvacuationForm form,
-                   base::Duration longest_wait,
+                   AnyEvacuationFormat format,
+                   base::Duration max_read_interval,
                    const base::Random& random,
                    Handler read);
   ~EvacuationReader();
@@ -46,18 +46,19 @@
   void Read();
   void OnPage(const base::Result<store::StorePage>& page);
   void Watch(int64_t after);
-  void OnWatched(int64_t after, const base::Result<store::StoreNews>& news);
-  void EndRound(bool failed);
+  void OnWatchEnded(int64_t after,
+                    const base::Result<store::StoreChanges>& changes);
+  void FinishRound(bool failed);
 
   net::EventLoop& loop_;
   store::StoreClient& store_;
-  AnyEvacuationForm form_;
+  AnyEvacuationFormat format_;
   base::Random random_;
-  Handler read_;
-  configuration::ReadPace pace_;
+  Handler on_read_;
+  configuration::ReadTiming timing_;
   configuration::ReaderRole role_;
   net::EventLoop::TimerId timer_ = 0;
-  configuration::WatchRound watch_;
+  configuration::CurrentWatch watch_;
   bool has_read_ = false;       // Since the start.
   bool is_unreadable_ = false;  // By the last reading; logged once in a row.
 };
--- a/src/libs/evacuation_store/evacuation_writer.cc
+++ b/src/libs/evacuation_store/evacuation_writer.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "evacuation_store/own_evacuation_form.h"
+#include "evacuation_store/native_evacuation_format.h"
 
 namespace chestnutport::evacuation_store {
 
@@ -17,45 +17,46 @@
 }  // namespace
 
 EvacuationWriter::EvacuationWriter(store::StoreClient& store,
-                                   AnyEvacuationForm form)
-    : store_(store), form_(std::move(form)) {}
+                                   AnyEvacuationFormat format)
+    : store_(store), format_(std::move(format)) {}
 
-void EvacuationWriter::Carry(const EvacuationOrder& order, Handler handler) {
-  if (!form_.is_written) {
+void EvacuationWriter::Execute(const EvacuationRequest& request,
+                               Handler handler) {
+  if (!format_.is_written_by_nodes) {
     handler(make_error_code(ErrorKind::kNotFound));
     return;
   }
-  store_.ReadPage(form_.prefix,
-                  [this, order, handler = std::move(handler)](
+  store_.ReadPage(format_.prefix,
+                  [this, request, handler = std::move(handler)](
                       const base::Result<store::StorePage>& page) {
                     if (!page)
                       handler(page.error());
                     else
-                      Write(order, page.value(), handler);
+                      Write(request, page.value(), handler);
                   });
 }
 
-void EvacuationWriter::Write(const EvacuationOrder& order,
+void EvacuationWriter::Write(const EvacuationRequest& request,
                              const store::StorePage& page,
                              const Handler& handler) {
-  const auto now = form_.read(page.entries);
-  if (!now) {
+  const auto current = format_.read(page.entries);
+  if (!current) {
     handler(make_error_code(ErrorKind::kStoreUnavailable));
     return;
   }
-  if (order.change.IsDone(*now)) {
-    handler(*now);
+  if (request.change.IsInEffect(*current)) {
+    handler(*current);
     return;
   }
-  if (order.change.PlanId(*now) != order.plan_id) {
+  if (request.change.PlanId(*current) != request.plan_id) {
     handler(make_error_code(ErrorKind::kStalePlan));
     return;
   }
-  const DataCentres after = order.change.Apply(*now);
+  const DataCentres after = request.change.Apply(*current);
   const int64_t revision =
       page.entries.empty() ? kNoEntry : page.entries.front().revision;
-  store_.CompareAndSwap(form_.prefix, revision, OwnEvacuationForm::Write(after),
-                        kNoLease,
+  store_.CompareAndSwap(format_.prefix, revision,
+                        NativeEvacuationFormat::Write(after), kNoLease,
                         [after, handler](const base::Result<bool>& written) {
                           if (!written)
                             handler(written.error());
--- a/src/libs/evacuation_store/evacuation_writer.h
+++ b/src/libs/evacuation_store/evacuation_writer.h
@@ -8,12 +8,12 @@
 
 #include "base/result.h"
 #include "evacuation_store/evacuation_change.h"
-#include "evacuation_store/evacuation_form.h"
+#include "evacuation_store/evacuation_format.h"
 #include "store/store_client.h"
 
 namespace chestnutport::evacuation_store {
 
-struct EvacuationOrder {
+struct EvacuationRequest {
   EvacuationChange change;
   std::string plan_id;
 };
@@ -27,18 +27,18 @@
   using Handler = std::function<void(const base::Result<DataCentres>&)>;
 
   // `store` must outlive the writer.
-  EvacuationWriter(store::StoreClient& store, AnyEvacuationForm form);
+  EvacuationWriter(store::StoreClient& store, AnyEvacuationFormat format);
 
   // Repeating an order is harmless.
-  void Carry(const EvacuationOrder& order, Handler handler);
+  void Execute(const EvacuationRequest& request, Handler handler);
 
  private:
-  void Write(const EvacuationOrder& order,
+  void Write(const EvacuationRequest& request,
              const store::StorePage& page,
              const Handler& handler);
 
   store::StoreClient& store_;
-  AnyEvacuationForm form_;
+  AnyEvacuationFormat format_;
 };
 
 }  // namespace chestnutport::evacuation_store
--- a/src/libs/evacuation_store/own_evacuation_form.cc
+++ b/src/libs/evacuation_store/native_evacuation_format.cc
@@ -1,4 +1,4 @@
-#include "evacuation_store/own_evacuation_form.h"
+#include "evacuation_store/native_evacuation_format.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -9,20 +9,21 @@
 
 using nlohmann::json;
 
-OwnEvacuationForm::OwnEvacuationForm(const std::string& fleet)
+NativeEvacuationFormat::NativeEvacuationFormat(const std::string& fleet)
     : key_(absl::StrCat("chestnutport/", fleet, "/evacuations")) {}
 
-std::optional<DataCentres> OwnEvacuationForm::Read(
+std::optional<DataCentres> NativeEvacuationFormat::Read(
     std::span<const store::StoreEntry> entries) const {
   const auto found = std::ranges::find(entries, key_, &store::StoreEntry::key);
   return found == entries.end() ? DataCentres() : Parse(found->value);
 }
 
-std::string OwnEvacuationForm::Write(const DataCentres& data_centres) {
+std::string NativeEvacuationFormat::Write(const DataCentres& data_centres) {
   return json(data_centres).dump();
 }
 
-std::optional<DataCentres> OwnEvacuationForm::Parse(const std::string& text) {
+std::optional<DataCentres> NativeEvacuationFormat::Parse(
+    const std::string& text) {
   const json list = json::parse(text, nullptr, false);
   const bool is_list =
       list.is_array() && std::ranges::all_of(list, [](const json& name) {
--- a/src/libs/evacuation_store/own_evacuation_form.h
+++ b/src/libs/evacuation_store/native_evacuation_format.h
@@ -1,20 +1,20 @@
 // Evacuations in the product's own form: one key, whose value lists the data
 // centres as a JSON array.
-#ifndef EVACUATION_STORE_OWN_EVACUATION_FORM_H_
-#define EVACUATION_STORE_OWN_EVACUATION_FORM_H_
+#ifndef EVACUATION_STORE_NATIVE_EVACUATION_FORMAT_H_
+#define EVACUATION_STORE_NATIVE_EVACUATION_FORMAT_H_
 
-#include "evacuation_store/evacuation_form.h"
+#include "evacuation_store/evacuation_format.h"
 
 namespace chestnutport::evacuation_store {
 
-class OwnEvacuationForm {
+class NativeEvacuationFormat {
  public:
-  explicit OwnEvacuationForm(const std::string& fleet);
+  explicit NativeEvacuationFormat(const std::string& fleet);
 
   std::string Prefix() const { return key_; }
   std::optional<DataCentres> Read(
       std::span<const store::StoreEntry> entries) const;
-  bool IsWritten() const { return true; }
+  bool IsWrittenByNodes() const { return true; }
 
   // The value of the key.
   static std::string Write(const DataCentres& data_centres);
@@ -27,4 +27,4 @@
 
 }  // namespace chestnutport::evacuation_store
 
-#endif  // EVACUATION_STORE_OWN_EVACUATION_FORM_H_
+#endif  // EVACUATION_STORE_NATIVE_EVACUATION_FORMAT_H_
--- a/src/libs/fleet/fleet_membership.cc
+++ b/src/libs/fleet/fleet_membership.cc
@@ -103,7 +103,7 @@
   Apply(output);
 }
 
-void FleetMembership::OnRevisionHeard(RevisionHandler handler) {
+void FleetMembership::OnRevisionReported(RevisionHandler handler) {
   revision_handler_ = std::move(handler);
 }
 
--- a/src/libs/fleet/fleet_membership.h
+++ b/src/libs/fleet/fleet_membership.h
@@ -61,7 +61,7 @@
   void Update(const membership::Member& self);
 
   // Set before Start().
-  void OnRevisionHeard(RevisionHandler handler);
+  void OnRevisionReported(RevisionHandler handler);
   // Tells the fleet that this node holds `revision`; lower ones are ignored.
   void AnnounceRevision(uint64_t revision);
 
--- a/src/libs/fleet/seed_keeper.cc
+++ b/src/libs/fleet/seed_keeper.cc
@@ -47,7 +47,7 @@
     : loop_(loop),
       store_(store),
       prefix_(absl::StrCat("chestnutport/", settings.fleet, "/seeds/")),
-      search_(store.CountsOldListings(), settings.longest_store_wait),
+      search_(store.CountsStaleListings(), settings.longest_store_wait),
       contacts_(settings.first_contacts),
       random_(random) {}
 
@@ -96,7 +96,7 @@
   store_.ListPrefix(
       prefix_,
       listing == SeedSearch::Listing::kLatest ? store::Freshness::kLatest
-                                              : store::Freshness::kMayBeOld,
+                                              : store::Freshness::kMayBeStale,
       [this, listing](base::Result<std::vector<store::StoreEntry>> entries) {
         RunAfter(search_.Wait(IsAlone(), random_));
         if (entries)
@@ -113,7 +113,7 @@
                            std::vector<store::StoreEntry> entries) {
   TakeOthers(entries);
   ContactUnknown(entries);
-  const bool is_old = listing == SeedSearch::Listing::kMayBeOld;
+  const bool is_old = listing == SeedSearch::Listing::kMayBeStale;
   if (IsAlone() && entries.empty() && is_old) {
     RunAfter(search_.WaitAfterNobody(random_));
     return;
--- a/src/libs/fleet_configuration/configuration_confirmer.cc
+++ b/src/libs/fleet_configuration/configuration_confirmer.cc
@@ -6,7 +6,7 @@
 
 using configuration::ConfirmStep;
 
-struct ConfigurationConfirmer::Running {
+struct ConfigurationConfirmer::PendingConfirmation {
   configuration::ConfirmProcedure procedure;
   DoneHandler done;
 };
@@ -14,59 +14,64 @@
 ConfigurationConfirmer::ConfigurationConfirmer(
     net::EventLoop& loop,
     ConfigurationStore& store,
-    const configuration::HeldConfiguration& held,
-    HeardRevision heard)
-    : loop_(loop), store_(store), held_(held), heard_(std::move(heard)) {}
+    const configuration::LocalConfiguration& local,
+    ReportedRevisionSource reported_revision)
+    : loop_(loop),
+      store_(store),
+      local_(local),
+      reported_revision_(std::move(reported_revision)) {}
 
 ConfigurationConfirmer::~ConfigurationConfirmer() = default;
 
-void ConfigurationConfirmer::Run(configuration::ConfirmRequest request,
-                                 DoneHandler done) {
+void ConfigurationConfirmer::Start(configuration::ConfirmRequest request,
+                                   DoneHandler done) {
   const uint64_t id = ++last_id_;
   configuration::ConfirmProcedure procedure(std::move(request),
-                                            loop_.now() + kConfirmBudget);
-  const auto [at, added] =
-      running_.emplace(id, Running{std::move(procedure), std::move(done)});
-  Take(id, at->second.procedure.Start());
+                                            loop_.now() + kConfirmTimeout);
+  const auto [at, added] = pending_.emplace(
+      id, PendingConfirmation{std::move(procedure), std::move(done)});
+  Dispatch(id, at->second.procedure.Start());
 }
 
-void ConfigurationConfirmer::Take(uint64_t id, const ConfirmStep& step) {
-  std::visit([&](const auto& typed) { Act(id, typed); }, step);
+void ConfigurationConfirmer::Dispatch(uint64_t id, const ConfirmStep& step) {
+  std::visit([&](const auto& typed) { Execute(id, typed); }, step);
 }
 
-void ConfigurationConfirmer::Act(uint64_t id,
-                                 const configuration::ReadHead& /*step*/) {
+void ConfigurationConfirmer::Execute(uint64_t id,
+                                     const configuration::ReadHead& /*step*/) {
   store_.ReadHead([this, id](const auto& stored) {
-    Take(id, running_.at(id).procedure.OnHead(loop_.now(), stored, held_.head(),
-                                              heard_()));
+    Dispatch(id, pending_.at(id).procedure.OnHead(
+                     loop_.now(), stored, local_.head(), reported_revision_()));
   });
 }
 
-void ConfigurationConfirmer::Act(uint64_t id,
-                                 const configuration::WriteDocuments& step) {
+void ConfigurationConfirmer::Execute(
+    uint64_t id,
+    const configuration::WriteDocuments& step) {
   store_.WriteDocuments(step.documents, [this, id](bool all_written) {
-    Take(id, running_.at(id).procedure.OnDocuments(loop_.now(), all_written));
+    Dispatch(id,
+             pending_.at(id).procedure.OnDocuments(loop_.now(), all_written));
   });
 }
 
-void ConfigurationConfirmer::Act(uint64_t id,
-                                 const configuration::SwapHead& step) {
+void ConfigurationConfirmer::Execute(uint64_t id,
+                                     const configuration::SwapHead& step) {
   store_.SwapHead(step, [this, id](const auto& swapped) {
-    Take(id, running_.at(id).procedure.OnSwap(loop_.now(), swapped));
+    Dispatch(id, pending_.at(id).procedure.OnSwap(loop_.now(), swapped));
   });
 }
 
-void ConfigurationConfirmer::Act(uint64_t id,
-                                 const configuration::Pause& step) {
+void ConfigurationConfirmer::Execute(uint64_t id,
+                                     const configuration::Backoff& step) {
   loop_.CallAfter(step.duration, [this, id] {
-    Take(id, running_.at(id).procedure.OnPause());
+    Dispatch(id, pending_.at(id).procedure.OnBackoffElapsed());
   });
 }
 
-void ConfigurationConfirmer::Act(uint64_t id,
-                                 const configuration::Finish& step) {
-  const DoneHandler done = std::move(running_.at(id).done);
-  running_.erase(id);
+void ConfigurationConfirmer::Execute(uint64_t id,
+                                     const configuration::Finish& step) {
+  const DoneHandler done = std::move(pending_.at(id).done);
+  pending_.erase(id);
   done(step);
 }
 
--- a/src/libs/fleet_configuration/configuration_confirmer.h
+++ b/src/libs/fleet_configuration/configuration_confirmer.h
@@ -8,7 +8,7 @@
 #include <map>
 
 #include "configuration/confirm_procedure.h"
-#include "configuration/held_configuration.h"
+#include "configuration/local_configuration.h"
 #include "fleet_configuration/configuration_store.h"
 #include "net/event_loop.h"
 
@@ -18,38 +18,38 @@
  public:
   using DoneHandler = std::function<void(const configuration::Finish&)>;
   // The greatest revision that any node was heard to hold.
-  using HeardRevision = std::function<uint64_t()>;
+  using ReportedRevisionSource = std::function<uint64_t()>;
 
   // All must outlive the confirmer.
   ConfigurationConfirmer(net::EventLoop& loop,
                          ConfigurationStore& store,
-                         const configuration::HeldConfiguration& held,
-                         HeardRevision heard);
+                         const configuration::LocalConfiguration& local,
+                         ReportedRevisionSource reported_revision);
   ~ConfigurationConfirmer();
 
-  // `done` is called once, within kConfirmBudget and one call to the store.
-  void Run(configuration::ConfirmRequest request, DoneHandler done);
+  // `done` is called once, within kConfirmTimeout and one call to the store.
+  void Start(configuration::ConfirmRequest request, DoneHandler done);
 
  private:
-  struct Running;
+  struct PendingConfirmation;
 
-  void Take(uint64_t id, const configuration::ConfirmStep& step);
-  void Act(uint64_t id, const configuration::ReadHead& step);
-  void Act(uint64_t id, const configuration::WriteDocuments& step);
-  void Act(uint64_t id, const configuration::SwapHead& step);
-  void Act(uint64_t id, const configuration::Pause& step);
-  void Act(uint64_t id, const configuration::Finish& step);
+  void Dispatch(uint64_t id, const configuration::ConfirmStep& step);
+  void Execute(uint64_t id, const configuration::ReadHead& step);
+  void Execute(uint64_t id, const configuration::WriteDocuments& step);
+  void Execute(uint64_t id, const configuration::SwapHead& step);
+  void Execute(uint64_t id, const configuration::Backoff& step);
+  void Execute(uint64_t id, const configuration::Finish& step);
 
   net::EventLoop& loop_;
   ConfigurationStore& store_;
-  const configuration::HeldConfiguration& held_;
-  HeardRevision heard_;
+  const configuration::LocalConfiguration& local_;
+  ReportedRevisionSource reported_revision_;
   uint64_t last_id_ = 0;
-  std::map<uint64_t, Running> running_;
+  std::map<uint64_t, PendingConfirmation> pending_;
 };
 
 // How long a confirmation goes on trying.
-inline constexpr base::Duration kConfirmBudget = std::chrono::seconds(8);
+inline constexpr base::Duration kConfirmTimeout = std::chrono::seconds(8);
 
 }  // namespace chestnutport::fleet_configuration
 
--- a/src/libs/fleet_configuration/configuration_fetcher.cc
+++ b/src/libs/fleet_configuration/configuration_fetcher.cc
@@ -10,9 +10,9 @@
 namespace chestnutport::fleet_configuration {
 namespace {
 
-using configuration::Adoption;
-using configuration::FetchAnswer;
+using configuration::ApplyResult;
 using configuration::FetchRequest;
+using configuration::FetchResponse;
 using membership::Member;
 
 constexpr base::Duration kTimeout = std::chrono::seconds(2);
@@ -26,14 +26,14 @@
 ConfigurationFetcher::ConfigurationFetcher(
     net::EventLoop& loop,
     control_calls::ControlCaller& caller,
-    const configuration::HeldConfiguration& held,
+    const configuration::LocalConfiguration& local,
     base::Random& random,
-    OfferHandler offer)
+    ApplyHandler apply)
     : loop_(loop),
       caller_(caller),
-      held_(held),
+      local_(local),
       random_(random),
-      offer_(std::move(offer)),
+      apply_(std::move(apply)),
       interval_(kFirstInterval) {}
 
 ConfigurationFetcher::~ConfigurationFetcher() {
@@ -42,87 +42,93 @@
 }
 
 void ConfigurationFetcher::Start() {
-  AskAnyone();
+  FetchFromAnyPeer();
 }
 
 void ConfigurationFetcher::SetMembers(const Member& self,
                                       const std::vector<Member>& members) {
-  const bool was_alone = !plan_.HasOthers();
-  plan_.SetMembers(self, members);
-  if (was_alone && plan_.HasOthers() && timer_ != 0) {
+  const bool was_alone = !scheduler_.HasPeers();
+  scheduler_.SetMembers(self, members);
+  if (was_alone && scheduler_.HasPeers() && timer_ != 0) {
     loop_.Cancel(timer_);
-    AskAnyone();
+    FetchFromAnyPeer();
   }
-  AskNewer();
+  FetchNewer();
 }
 
-void ConfigurationFetcher::OnRevisionHeard(uint64_t revision,
-                                           const Member& from) {
-  plan_.OnHeard(revision, from);
-  AskNewer();
+void ConfigurationFetcher::OnRevisionReported(uint64_t revision,
+                                              const Member& from) {
+  scheduler_.OnRevisionReported(revision, from);
+  FetchNewer();
 }
 
-void ConfigurationFetcher::AskAnyone() {
-  if (const Member* member = plan_.AskAny(loop_.now(), random_))
-    Ask(*member);
-  timer_ = loop_.CallAfter(interval_, [this] { AskAnyone(); });
-  if (plan_.HasOthers())
+void ConfigurationFetcher::FetchFromAnyPeer() {
+  if (const Member* member = scheduler_.SelectAnyPeer(loop_.now(), random_))
+    Fetch(*member);
+  timer_ = loop_.CallAfter(interval_, [this] { FetchFromAnyPeer(); });
+  if (scheduler_.HasPeers())
     interval_ = std::min(2 * interval_, kInterval);
 }
 
-void ConfigurationFetcher::AskNewer() {
-  const uint64_t held = held_.head().revision;
+void ConfigurationFetcher::FetchNewer() {
+  const uint64_t revision = local_.head().revision;
   const base::Instant now = loop_.now();
-  if (const Member* member = plan_.AskNewer(held, now, random_))
-    Ask(*member);
+  if (const Member* member =
+          scheduler_.SelectPeerWithNewer(revision, now, random_))
+    Fetch(*member);
   loop_.Cancel(newer_timer_);
   newer_timer_ = 0;
-  const base::Instant next = plan_.NextNewer(held);
-  const bool is_behind = plan_.GreatestHeard() > held;
+  const base::Instant next = scheduler_.NextSelectionAt(revision);
+  const bool is_behind = scheduler_.GreatestReportedRevision() > revision;
   // Nobody is left to ask if it is due already: an event will bring more.
   if (is_behind && next > now && next < base::Instant::max())
-    newer_timer_ = loop_.CallAt(next, [this] { AskNewer(); });
+    newer_timer_ = loop_.CallAt(next, [this] { FetchNewer(); });
 }
 
-void ConfigurationFetcher::Ask(const Member& member) {
-  const FetchRequest request{ask_for_all_ ? 0 : held_.head().revision};
+void ConfigurationFetcher::Fetch(const Member& member) {
+  const FetchRequest request{fetch_all_ ? 0 : local_.head().revision};
   caller_.Call(
       member.control_address, configuration::kFetchMethod, request.ToJson(),
       kTimeout,
-      [this, from = member.id, asked_at = loop_.now()](const auto& text) {
-        OnAnswer(from, asked_at, text);
+      [this, from = member.id, started_at = loop_.now()](const auto& text) {
+        OnResponse(from, started_at, text);
       },
-      [this, from = member.id] { plan_.OnAnswering(from, loop_.now()); });
+      [this, from = member.id] {
+        scheduler_.OnTransferStarted(from, loop_.now());
+      });
 }
 
-void ConfigurationFetcher::OnAnswer(base::NodeId from,
-                                    base::Instant asked_at,
-                                    const base::Result<std::string>& text) {
-  const auto answer = text ? FetchAnswer::FromJson(text.value()) : std::nullopt;
-  if (answer) {
-    Take(from, *answer);
-    plan_.OnAnswer(from, answer->revision, held_.head().revision, loop_.now());
+void ConfigurationFetcher::OnResponse(base::NodeId from,
+                                      base::Instant started_at,
+                                      const base::Result<std::string>& text) {
+  const auto response =
+      text ? FetchResponse::FromJson(text.value()) : std::nullopt;
+  if (response) {
+    Apply(from, *response);
+    scheduler_.OnResponse(from, response->revision, local_.head().revision,
+                          loop_.now());
   } else {
-    LogFailure(from, asked_at);
-    plan_.OnFailed(from);
+    LogFailure(from, started_at);
+    scheduler_.OnFailed(from);
   }
-  AskNewer();
+  FetchNewer();
 }
 
-void ConfigurationFetcher::Take(base::NodeId from, const FetchAnswer& answer) {
-  if (!answer.head)
+void ConfigurationFetcher::Apply(base::NodeId from,
+                                 const FetchResponse& response) {
+  if (!response.head)
     return;
-  const Adoption adoption = offer_(from, *answer.head, answer.documents);
-  ask_for_all_ = adoption == Adoption::kIncomplete;
+  const ApplyResult result = apply_(from, *response.head, response.documents);
+  fetch_all_ = result == ApplyResult::kIncomplete;
 }
 
 void ConfigurationFetcher::LogFailure(base::NodeId from,
-                                      base::Instant asked_at) const {
+                                      base::Instant started_at) const {
   telemetry::LogEvent(telemetry::Event::kConfigurationFetchFailed,
                       {{"node", from.ToString()},
-                       {"took", base::FormatDuration(loop_.now() - asked_at)},
-                       {"held", absl::StrCat(held_.head().revision)},
-                       {"heard", absl::StrCat(GreatestHeard())}});
+                       {"took", base::FormatDuration(loop_.now() - started_at)},
+                       {"held", absl::StrCat(local_.head().revision)},
+                       {"heard", absl::StrCat(GreatestReportedRevision())}});
 }
 
 }  // namespace chestnutport::fleet_configuration
--- a/src/libs/fleet_configuration/configuration_fetcher.h
+++ b/src/libs/fleet_configuration/configuration_fetcher.h
@@ -10,57 +10,59 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "configuration/fetch.h"
-#include "configuration/fetch_plan.h"
-#include "configuration/held_configuration.h"
+#include "configuration/fetch_scheduler.h"
+#include "configuration/local_configuration.h"
 #include "control_calls/control_caller.h"
 #include "membership/member.h"
 #include "net/event_loop.h"
 
 namespace chestnutport::fleet_configuration {
 
-// Asks nodes that were heard to hold a newer revision, as FetchPlan says; and,
-// now and then, any other node, so that an announcement that got lost costs
-// only time.
+// Asks nodes that were heard to hold a newer revision, as FetchScheduler says;
+// and, now and then, any other node, so that an announcement that got lost
+// costs only time.
 class ConfigurationFetcher {
  public:
-  using OfferHandler =
-      std::function<configuration::Adoption(base::NodeId from,
-                                            const configuration::Head& head,
-                                            const configuration::Documents&)>;
+  using ApplyHandler = std::function<configuration::ApplyResult(
+      base::NodeId from,
+      const configuration::Head& head,
+      const configuration::Documents&)>;
 
   // All must outlive the fetcher.
   ConfigurationFetcher(net::EventLoop& loop,
                        control_calls::ControlCaller& caller,
-                       const configuration::HeldConfiguration& held,
+                       const configuration::LocalConfiguration& local,
                        base::Random& random,
-                       OfferHandler offer);
+                       ApplyHandler apply);
   ~ConfigurationFetcher();
 
   void Start();
   void SetMembers(const membership::Member& self,
                   const std::vector<membership::Member>& members);
-  void OnRevisionHeard(uint64_t revision, const membership::Member& from);
+  void OnRevisionReported(uint64_t revision, const membership::Member& from);
 
   // The greatest revision that any member was heard to hold.
-  uint64_t GreatestHeard() const { return plan_.GreatestHeard(); }
+  uint64_t GreatestReportedRevision() const {
+    return scheduler_.GreatestReportedRevision();
+  }
 
  private:
-  void AskAnyone();
-  void AskNewer();
-  void Ask(const membership::Member& member);
-  void OnAnswer(base::NodeId from,
-                base::Instant asked_at,
-                const base::Result<std::string>& text);
-  void Take(base::NodeId from, const configuration::FetchAnswer& answer);
-  void LogFailure(base::NodeId from, base::Instant asked_at) const;
+  void FetchFromAnyPeer();
+  void FetchNewer();
+  void Fetch(const membership::Member& member);
+  void OnResponse(base::NodeId from,
+                  base::Instant started_at,
+                  const base::Result<std::string>& text);
+  void Apply(base::NodeId from, const configuration::FetchResponse& response);
+  void LogFailure(base::NodeId from, base::Instant started_at) const;
 
   net::EventLoop& loop_;
   control_calls::ControlCaller& caller_;
-  const configuration::HeldConfiguration& held_;
+  const configuration::LocalConfiguration& local_;
   base::Random& random_;
-  OfferHandler offer_;
-  configuration::FetchPlan plan_;
-  bool ask_for_all_ = false;  // The last answer was not enough.
+  ApplyHandler apply_;
+  configuration::FetchScheduler scheduler_;
+  bool fetch_all_ = false;  // The last answer was not enough.
   base::Duration interval_;
   net::EventLoop::TimerId timer_ = 0;
   net::EventLoop::TimerId newer_timer_ = 0;
--- a/src/libs/fleet_configuration/configuration_keeper.cc
+++ b/src/libs/fleet_configuration/configuration_manager.cc
@@ -1,4 +1,4 @@
-#include "fleet_configuration/configuration_keeper.h"
+#include "fleet_configuration/configuration_manager.h"
 
 #include <utility>
 
@@ -10,9 +10,9 @@
 namespace chestnutport::fleet_configuration {
 namespace {
 
-using configuration::Adoption;
+using configuration::ApplyResult;
+using configuration::ConfirmOutcome;
 using configuration::ConfirmRequest;
-using configuration::ConfirmVerdict;
 using configuration::Documents;
 using configuration::Finish;
 using configuration::Head;
@@ -24,98 +24,98 @@
 
 }  // namespace
 
-ConfigurationKeeper::ConfigurationKeeper(
+ConfigurationManager::ConfigurationManager(
     net::EventLoop& loop,
     store::StoreClient& store,
     control_calls::ControlListener& listener,
     control_calls::ControlCaller& caller,
-    const AnyConfigurationForm& form,
+    const AnyConfigurationFormat& format,
     const settings::NodeSettings& settings,
-    ConfigurationReader::FleetLink fleet,
+    ConfigurationReader::FleetCallbacks fleet,
     base::Random random)
     : loop_(loop),
       random_(random),
-      store_(store, form, settings.fleet),
+      store_(store, format, settings.fleet),
       reader_(loop,
               store_,
-              held_,
+              local_,
               random_,
               settings.longest_store_wait,
               std::move(fleet),
               [this](const auto& head, const auto& documents) {
-                lag_.OnHeard(head.revision, loop_.now());
-                Offer(head, documents, kFromStore);
+                lag_.OnRevisionReported(head.revision, loop_.now());
+                Apply(head, documents, kFromStore);
               }),
       fetcher_(
           loop,
           caller,
-          held_,
+          local_,
           random_,
           [this](base::NodeId from, const auto& head, const auto& documents) {
-            return Offer(head, documents, from.ToString());
+            return Apply(head, documents, from.ToString());
           }),
-      confirmer_(loop, store_, held_, [this] {
-        return fetcher_.GreatestHeard();
+      confirmer_(loop, store_, local_, [this] {
+        return fetcher_.GreatestReportedRevision();
       }) {
   AddControlCalls(listener);
 }
 
-ConfigurationKeeper::~ConfigurationKeeper() = default;
+ConfigurationManager::~ConfigurationManager() = default;
 
-void ConfigurationKeeper::Start(ChangedHandler changed) {
+void ConfigurationManager::Start(ChangedHandler changed) {
   changed_ = std::move(changed);
   reader_.Start();
   fetcher_.Start();
 }
 
-void ConfigurationKeeper::SetMembers(
+void ConfigurationManager::SetMembers(
     const membership::Member& self,
     const std::vector<membership::Member>& members) {
   reader_.SetMembers(self, members);
   fetcher_.SetMembers(self, members);
 }
 
-void ConfigurationKeeper::OnRevisionHeard(uint64_t revision,
-                                          const membership::Member& from) {
-  lag_.OnHeard(revision, loop_.now());
-  fetcher_.OnRevisionHeard(revision, from);
+void ConfigurationManager::OnRevisionReported(uint64_t revision,
+                                              const membership::Member& from) {
+  lag_.OnRevisionReported(revision, loop_.now());
+  fetcher_.OnRevisionReported(revision, from);
 }
 
-void ConfigurationKeeper::Confirm(const ConfirmRequest& request,
-                                  ConfirmHandler handler) {
-  confirmer_.Run(request, [this, request,
-                           handler = std::move(handler)](const Finish& finish) {
+void ConfigurationManager::Confirm(const ConfirmRequest& request,
+                                   ConfirmHandler handler) {
+  confirmer_.Start(request, [this, request, handler = std::move(handler)](
+                                const Finish& finish) {
     OnConfirmed(request, finish);
     handler(finish);
   });
 }
 
-void ConfigurationKeeper::OnConfirmed(const ConfirmRequest& request,
-                                      const Finish& finish) {
-  if (finish.verdict == ConfirmVerdict::kUnknown) {
+void ConfigurationManager::OnConfirmed(const ConfirmRequest& request,
+                                       const Finish& finish) {
+  if (finish.outcome == ConfirmOutcome::kUnknown) {
     LogEvent(Event::kStoreOutcomeUnknown, {{"plan", request.plan_id}});
     return;
   }
-  if (finish.verdict != ConfirmVerdict::kConfirmed)
+  if (finish.outcome != ConfirmOutcome::kConfirmed)
     return;
   LogEvent(Event::kConfigurationConfirmed,
            {{"revision", absl::StrCat(finish.revision)},
             {"by", request.confirmed_by}});
   // Incomplete if others have confirmed since; the reader will see to it.
-  Offer(finish.head, configuration::MakeDocuments(request.texts),
+  Apply(finish.head, configuration::MakeDocuments(request.texts),
         kFromOperator);
 }
 
-Adoption ConfigurationKeeper::Offer(const Head& head,
-                                    const Documents& documents,
-                                    const std::string& source) {
-  const Adoption adoption = held_.Offer(head, documents);
-  if (adoption != Adoption::kAdopted)
-    return adoption;
+ApplyResult ConfigurationManager::Apply(const Head& head,
+                                        const Documents& documents,
+                                        const std::string& source) {
+  const ApplyResult result = local_.Apply(head, documents);
+  if (result != ApplyResult::kApplied)
+    return result;
   auto texts =
-      configuration::Assemble(held_.head().manifest, held_.documents());
+      configuration::Assemble(local_.head().manifest, local_.documents());
   configuration_ = std::make_shared<const declarations::Configuration>(
-      store_.form().parse(head.revision, *std::move(texts)));
+      store_.format().parse(head.revision, *std::move(texts)));
   const base::Duration known_for =
       lag_.OnInForce(head.revision, base::Clock::now());
   LogEvent(Event::kConfigurationInForce,
@@ -123,27 +123,27 @@
             {"from", source},
             {"known_for", base::FormatDuration(known_for)}});
   changed_(head.revision);
-  return adoption;
+  return result;
 }
 
-base::Duration ConfigurationKeeper::Behind() const {
+base::Duration ConfigurationManager::Behind() const {
   return lag_.Behind(loop_.now());
 }
 
-std::optional<base::Duration> ConfigurationKeeper::StoreWordAge() const {
-  const auto heard_at = reader_.heard_at();
-  if (!reader_.is_reader() || !heard_at)
+std::optional<base::Duration> ConfigurationManager::StoreStaleness() const {
+  const auto last_contact = reader_.last_store_contact();
+  if (!reader_.is_reader() || !last_contact)
     return std::nullopt;
-  return loop_.now() - *heard_at;
+  return loop_.now() - *last_contact;
 }
 
-void ConfigurationKeeper::AddControlCalls(
+void ConfigurationManager::AddControlCalls(
     control_calls::ControlListener& listener) {
   listener.Add(configuration::kFetchMethod, [this](const std::string& params) {
     const auto request = configuration::FetchRequest::FromJson(params);
     if (!request)
       return std::string();
-    return configuration::AnswerFetch(*request, held_, packed_).ToJson();
+    return configuration::MakeFetchResponse(*request, local_, packed_).ToJson();
   });
 }
 
--- a/src/libs/fleet_configuration/configuration_keeper.h
+++ b/src/libs/fleet_configuration/configuration_manager.h
@@ -1,7 +1,7 @@
 // Keeps this node's configuration: takes newer ones from the store and from
 // peers, and confirms what operators ask for. Runs on the control thread.
-#ifndef FLEET_CONFIGURATION_CONFIGURATION_KEEPER_H_
-#define FLEET_CONFIGURATION_CONFIGURATION_KEEPER_H_
+#ifndef FLEET_CONFIGURATION_CONFIGURATION_MANAGER_H_
+#define FLEET_CONFIGURATION_CONFIGURATION_MANAGER_H_
 
 #include <functional>
 #include <optional>
@@ -10,8 +10,8 @@
 
 #include "base/random.h"
 #include "configuration/confirm_procedure.h"
-#include "configuration/held_configuration.h"
-#include "configuration/packed_documents.h"
+#include "configuration/local_configuration.h"
+#include "configuration/packed_document_cache.h"
 #include "configuration/revision_lag.h"
 #include "control_calls/control_caller.h"
 #include "control_calls/control_listener.h"
@@ -27,28 +27,28 @@
 
 namespace chestnutport::fleet_configuration {
 
-class ConfigurationKeeper {
+class ConfigurationManager {
  public:
   // Called with each revision that comes into force here.
   using ChangedHandler = std::function<void(uint64_t revision)>;
   using ConfirmHandler = ConfigurationConfirmer::DoneHandler;
 
   // All but `form` and `random` must outlive the keeper.
-  ConfigurationKeeper(net::EventLoop& loop,
-                      store::StoreClient& store,
-                      control_calls::ControlListener& listener,
-                      control_calls::ControlCaller& caller,
-                      const AnyConfigurationForm& form,
-                      const settings::NodeSettings& settings,
-                      ConfigurationReader::FleetLink fleet,
-                      base::Random random);
-  ~ConfigurationKeeper();
+  ConfigurationManager(net::EventLoop& loop,
+                       store::StoreClient& store,
+                       control_calls::ControlListener& listener,
+                       control_calls::ControlCaller& caller,
+                       const AnyConfigurationFormat& format,
+                       const settings::NodeSettings& settings,
+                       ConfigurationReader::FleetCallbacks fleet,
+                       base::Random random);
+  ~ConfigurationManager();
 
   void Start(ChangedHandler changed);
   void SetMembers(const membership::Member& self,
                   const std::vector<membership::Member>& members);
   // `from` was heard to hold `revision`.
-  void OnRevisionHeard(uint64_t revision, const membership::Member& from);
+  void OnRevisionReported(uint64_t revision, const membership::Member& from);
 
   // Confirms a plan; `handler` is told the truth as far as it is known.
   void Confirm(const configuration::ConfirmRequest& request,
@@ -60,29 +60,29 @@
   const declarations::SharedConfiguration& shared_configuration() const {
     return configuration_;
   }
-  const configuration::HeldConfiguration& held() const { return held_; }
+  const configuration::LocalConfiguration& local() const { return local_; }
   bool is_reader() const { return reader_.is_reader(); }
   // For how long a newer revision than the one in force has been known.
   base::Duration Behind() const;
   // Since the store last said which revision it holds; nothing if this node
   // does not read it, or has not heard from it yet.
-  std::optional<base::Duration> StoreWordAge() const;
+  std::optional<base::Duration> StoreStaleness() const;
 
  private:
   // `source`: who offers it, for the log.
-  configuration::Adoption Offer(const configuration::Head& head,
-                                const configuration::Documents& documents,
-                                const std::string& source);
+  configuration::ApplyResult Apply(const configuration::Head& head,
+                                   const configuration::Documents& documents,
+                                   const std::string& source);
   void OnConfirmed(const configuration::ConfirmRequest& request,
                    const configuration::Finish& finish);
   void AddControlCalls(control_calls::ControlListener& listener);
 
   net::EventLoop& loop_;
   base::Random random_;
-  configuration::HeldConfiguration held_;
+  configuration::LocalConfiguration local_;
   configuration::RevisionLag lag_;
-  configuration::PackedDocuments packed_;
-  // Parsed from `held_`.
+  configuration::PackedDocumentCache packed_;
+  // Parsed from `local_`.
   declarations::SharedConfiguration configuration_ =
       std::make_shared<const declarations::Configuration>();
   ChangedHandler changed_;
@@ -94,4 +94,4 @@
 
 }  // namespace chestnutport::fleet_configuration
 
-#endif  // FLEET_CONFIGURATION_CONFIGURATION_KEEPER_H_
+#endif  // FLEET_CONFIGURATION_CONFIGURATION_MANAGER_H_
--- a/src/libs/fleet_configuration/configuration_reader.cc
+++ b/src/libs/fleet_configuration/configuration_reader.cc
@@ -21,156 +21,156 @@
 ConfigurationReader::ConfigurationReader(
     net::EventLoop& loop,
     ConfigurationStore& store,
-    const configuration::HeldConfiguration& held,
+    const configuration::LocalConfiguration& local,
     base::Random& random,
-    base::Duration longest_wait,
-    FleetLink fleet,
-    OfferHandler offer)
+    base::Duration max_read_interval,
+    FleetCallbacks fleet,
+    ApplyHandler apply)
     : loop_(loop),
       store_(store),
-      held_(held),
+      local_(local),
       random_(random),
       fleet_(std::move(fleet)),
-      offer_(std::move(offer)),
-      pace_(longest_wait) {}
+      apply_(std::move(apply)),
+      timing_(max_read_interval) {}
 
 ConfigurationReader::~ConfigurationReader() {
   loop_.Cancel(timer_);
-  loop_.Cancel(patience_timer_);
+  loop_.Cancel(slow_read_timer_);
 }
 
 void ConfigurationReader::Start() {
-  Schedule(pace_.First(random_));
+  Schedule(timing_.FirstReadDelay(random_));
 }
 
 void ConfigurationReader::SetMembers(
     const membership::Member& self,
     const std::vector<membership::Member>& members) {
-  using configuration::ReadSoon;
-  const ReadSoon reason = role_.SetMembers(self, members);
+  using configuration::ReadTrigger;
+  const ReadTrigger reason = role_.SetMembers(self, members);
   // A store that serves nobody is not asked each time that one more finds out.
   const bool knows =
-      has_lost_store_ && reason == ReadSoon::kAlertReaderLostStore;
-  if (reason == ReadSoon::kNo || knows || is_reading_)
+      has_lost_store_ && reason == ReadTrigger::kShortWatchReaderLostStore;
+  if (reason == ReadTrigger::kNone || knows || is_reading_)
     return;
-  watch_.GiveUp();
-  reads_once_ = true;
-  Schedule(configuration::ReadPace::Again(random_));
+  watch_.Abandon();
+  must_read_once_ = true;
+  Schedule(configuration::ReadTiming::RereadDelay(random_));
 }
 
 void ConfigurationReader::Schedule(base::Duration wait) {
   loop_.Cancel(timer_);
-  timer_ = loop_.CallAfter(wait, [this] { CheckRole(); });
+  timer_ = loop_.CallAfter(wait, [this] { ReadIfDue(); });
 }
 
-void ConfigurationReader::CheckRole() {
-  contact_.Check(fleet_.heard_at(), loop_.now());
-  if (std::exchange(reads_once_, false) || Reads()) {
+void ConfigurationReader::ReadIfDue() {
+  isolation_.Check(fleet_.heard_at(), loop_.now());
+  if (std::exchange(must_read_once_, false) || ShouldRead()) {
     Read();
     return;
   }
-  ForgetStore();
-  Schedule(configuration::FleetContact::kCheckInterval);
+  ResetStoreState();
+  Schedule(configuration::IsolationDetector::kCheckInterval);
 }
 
 void ConfigurationReader::Read() {
   is_reading_ = true;
-  patience_timer_ = loop_.CallAfter(configuration::kReadPatience, [this] {
-    patience_timer_ = 0;
-    NoteStore(true);
+  slow_read_timer_ = loop_.CallAfter(configuration::kSlowReadThreshold, [this] {
+    slow_read_timer_ = 0;
+    UpdateStoreState(true);
   });
   store_.ReadHead([this](const auto& stored) { OnHead(stored); });
 }
 
 void ConfigurationReader::OnHead(const base::Result<StoredHead>& stored) {
-  loop_.Cancel(std::exchange(patience_timer_, 0));
+  loop_.Cancel(std::exchange(slow_read_timer_, 0));
   if (!stored) {
-    EndRound(true);
+    FinishRound(true);
     return;
   }
-  heard_at_ = loop_.now();
-  as_of_ = stored.value().as_of;
+  last_store_contact_ = loop_.now();
+  store_revision_ = stored.value().as_of;
   const Head& head = stored.value().head;
-  if (head.revision > held_.head().revision) {
+  if (head.revision > local_.head().revision) {
     ReadDocuments(head);
     return;
   }
   // Where operators write the head, what is held is never put in its place.
-  const auto repaired = store_.form().is_written
-                            ? configuration::RepairStore(head, held_.head())
+  const auto repaired = store_.format().is_written_by_nodes
+                            ? configuration::RepairStore(head, local_.head())
                             : std::nullopt;
   if (repaired)
     Repair(stored.value(), *repaired);
   else
-    GoOn();
+    ContinueRound();
 }
 
-void ConfigurationReader::GoOn() {
+void ConfigurationReader::ContinueRound() {
   // After a start each node takes itself for a reader until it knows the fleet.
   const bool is_settled = std::exchange(has_read_, true);
-  if (is_settled && Reads() && as_of_ > 0 && store_.CanWatch()) {
-    NoteStore(false);
+  if (is_settled && ShouldRead() && store_revision_ > 0 && store_.CanWatch()) {
+    UpdateStoreState(false);
     Watch();
     return;
   }
-  EndRound(false);
+  FinishRound(false);
 }
 
-void ConfigurationReader::GoOnAfterChange() {
-  if (role_.is_alert() || !has_read_) {
-    GoOn();
+void ConfigurationReader::ContinueAfterChange() {
+  if (role_.has_short_watches() || !has_read_) {
+    ContinueRound();
     return;
   }
   is_reading_ = false;
-  NoteStore(false);
+  UpdateStoreState(false);
   loop_.Cancel(timer_);
-  timer_ =
-      loop_.CallAfter(configuration::kPauseAfterChange, [this] { GoOn(); });
+  timer_ = loop_.CallAfter(configuration::kDelayAfterChange,
+                           [this] { ContinueRound(); });
 }
 
 void ConfigurationReader::Watch() {
   is_reading_ = false;
-  const auto times = pace_.Watch(role_.is_alert(), random_);
-  watch_due_ = loop_.now() + times.wait + times.patience;
-  store_.WatchHead(as_of_, times,
+  const auto times = timing_.DrawWatch(role_.has_short_watches(), random_);
+  watch_deadline_ = loop_.now() + times.wait + times.grace;
+  store_.WatchHead(store_revision_, times,
                    [this, watch = watch_.Begin()](const auto& watched) {
                      if (watch_.End(watch))
-                       OnWatched(watched);
+                       OnWatchEnded(watched);
                    });
 }
 
-void ConfigurationReader::OnWatched(
-    const base::Result<ConfigurationStore::Watched>& watched) {
-  contact_.Check(fleet_.heard_at(), loop_.now());
+void ConfigurationReader::OnWatchEnded(
+    const base::Result<ConfigurationStore::WatchResult>& watched) {
+  isolation_.Check(fleet_.heard_at(), loop_.now());
   if (!watched) {
-    const bool is_silent = loop_.now() >= watch_due_;
+    const bool is_silent = loop_.now() >= watch_deadline_;
     if (is_silent)
-      NoteStore(true);
+      UpdateStoreState(true);
     // Changes may have been missed: what lies there is read.
-    Schedule(configuration::ReadPace::Again(random_));
+    Schedule(configuration::ReadTiming::RereadDelay(random_));
     return;
   }
-  heard_at_ = loop_.now();
-  as_of_ = std::max(as_of_, watched.value().as_of);
+  last_store_contact_ = loop_.now();
+  store_revision_ = std::max(store_revision_, watched.value().as_of);
   if (watched.value().head &&
-      watched.value().head->head.revision > held_.head().revision) {
+      watched.value().head->head.revision > local_.head().revision) {
     ReadDocuments(watched.value().head->head);
     return;
   }
-  GoOn();
+  ContinueRound();
 }
 
 void ConfigurationReader::ReadDocuments(const Head& head) {
   is_reading_ = true;
   const auto missing =
-      configuration::MissingDocuments(head.manifest, held_.documents());
+      configuration::MissingDocuments(head.manifest, local_.documents());
   store_.ReadDocuments(missing, [this, head](auto documents) {
     if (!documents) {
-      EndRound(true);
+      FinishRound(true);
       return;
     }
-    offer_(head, documents.value());
-    GoOnAfterChange();
+    apply_(head, documents.value());
+    ContinueAfterChange();
   });
 }
 
@@ -178,8 +178,8 @@
                                  const Head& repaired) {
   Documents documents;
   for (const auto& [service, hash] : repaired.manifest) {
-    const auto found = held_.documents().find(hash);
-    if (found != held_.documents().end())
+    const auto found = local_.documents().find(hash);
+    if (found != local_.documents().end())
       documents[hash] = found->second;
   }
   const configuration::SwapHead swap{stored.store_revision, repaired};
@@ -187,7 +187,7 @@
   // Also those that the stored head names: a copy may lack any of them.
   store_.WriteDocuments(documents, [this, swap, found_revision](bool written) {
     if (!written) {
-      EndRound(true);
+      FinishRound(true);
       return;
     }
     store_.SwapHead(swap, [this, swap, found_revision](auto swapped) {
@@ -196,30 +196,31 @@
                  {{"found", absl::StrCat(found_revision)},
                   {"revision", absl::StrCat(swap.head.revision)}});
       }
-      EndRound(!swapped);
+      FinishRound(!swapped);
     });
   });
 }
 
-void ConfigurationReader::NoteStore(bool has_lost) {
+void ConfigurationReader::UpdateStoreState(bool has_lost) {
   if (std::exchange(has_lost_store_, has_lost) == has_lost)
     return;
   LogEvent(has_lost ? Event::kStoreUnavailable : Event::kStoreBack,
            {{"for", "configuration"}});
-  fleet_.tell_store_lost(has_lost);
+  fleet_.report_store_lost(has_lost);
 }
 
-void ConfigurationReader::ForgetStore() {
+void ConfigurationReader::ResetStoreState() {
   if (std::exchange(has_lost_store_, false))
-    fleet_.tell_store_lost(false);
+    fleet_.report_store_lost(false);
 }
 
-void ConfigurationReader::EndRound(bool failed) {
+void ConfigurationReader::FinishRound(bool failed) {
   is_reading_ = false;
-  NoteStore(failed);
-  const base::Duration wait =
-      pace_.Next(failed, role_.is_alone(), role_.lost_members() + 1, random_);
-  Schedule(Reads() ? wait : configuration::FleetContact::kCheckInterval);
+  UpdateStoreState(failed);
+  const base::Duration wait = timing_.NextReadDelay(
+      failed, role_.is_alone(), role_.members_without_store() + 1, random_);
+  Schedule(ShouldRead() ? wait
+                        : configuration::IsolationDetector::kCheckInterval);
 }
 
 }  // namespace chestnutport::fleet_configuration
--- a/src/libs/fleet_configuration/configuration_store.cc
+++ b/src/libs/fleet_configuration/configuration_store.cc
@@ -21,7 +21,7 @@
 constexpr int64_t kNoEntry = 0;
 
 // What is gathered from several calls at once.
-struct Reading {
+struct Batch {
   size_t outstanding = 0;
   bool failed = false;
   Documents documents;
@@ -30,13 +30,13 @@
 }  // namespace
 
 ConfigurationStore::ConfigurationStore(store::StoreClient& store,
-                                       AnyConfigurationForm form,
+                                       AnyConfigurationFormat format,
                                        const std::string& fleet)
-    : store_(store), form_(std::move(form)), fleet_(fleet) {}
+    : store_(store), format_(std::move(format)), fleet_(fleet) {}
 
 void ConfigurationStore::ReadHead(HeadHandler handler) {
-  store_.ReadPage(form_.head_key, [this, handler = std::move(handler)](
-                                      const base::Result<StorePage>& page) {
+  store_.ReadPage(format_.head_key, [this, handler = std::move(handler)](
+                                        const base::Result<StorePage>& page) {
     if (!page) {
       handler(page.error());
       return;
@@ -45,7 +45,7 @@
       handler(StoredHead{.as_of = page.value().as_of});
       return;
     }
-    auto stored = TakeEntry(page.value().entries.front());
+    auto stored = ParseEntry(page.value().entries.front());
     if (stored)
       stored.value().as_of = page.value().as_of;
     handler(std::move(stored));
@@ -53,68 +53,68 @@
 }
 
 void ConfigurationStore::WatchHead(int64_t after,
-                                   const configuration::WatchTimes& times,
+                                   const configuration::WatchDurations& times,
                                    WatchHandler handler) {
-  store_.Watch(form_.head_key, after, times.wait, times.patience,
+  store_.Watch(format_.head_key, after, times.wait, times.grace,
                [this, handler = std::move(handler)](
-                   const base::Result<store::StoreNews>& news) {
-                 if (!news || news.value().history_lost) {
+                   const base::Result<store::StoreChanges>& changes) {
+                 if (!changes || changes.value().changes_missed) {
                    handler(make_error_code(ErrorKind::kStoreUnavailable));
                    return;
                  }
-                 Watched watched{.as_of = news.value().as_of};
-                 for (const StoreEntry& entry : news.value().changed) {
-                   if (entry.key != form_.head_key)
+                 WatchResult result{.as_of = changes.value().as_of};
+                 for (const StoreEntry& entry : changes.value().changed) {
+                   if (entry.key != format_.head_key)
                      continue;
-                   auto stored = TakeEntry(entry);
+                   auto stored = ParseEntry(entry);
                    if (!stored) {
                      handler(stored.error());
                      return;
                    }
-                   watched.head = std::move(stored).value();
+                   result.head = std::move(stored).value();
                  }
-                 handler(std::move(watched));
+                 handler(std::move(result));
                });
 }
 
-base::Result<StoredHead> ConfigurationStore::TakeEntry(
+base::Result<StoredHead> ConfigurationStore::ParseEntry(
     const StoreEntry& entry) {
-  auto published = form_.read_head(entry.value);
-  if (!published) {
+  auto parsed = format_.read_head(entry.value);
+  if (!parsed) {
     LogEvent(Event::kConfigurationUnreadable, {{"key", entry.key}});
     return make_error_code(ErrorKind::kStoreUnavailable);
   }
-  came_along_ = std::move(published->documents);
-  return StoredHead{std::move(published->head), entry.revision};
+  inline_documents_ = std::move(parsed->documents);
+  return StoredHead{std::move(parsed->head), entry.revision};
 }
 
 void ConfigurationStore::ReadDocuments(const std::vector<std::string>& hashes,
                                        const DocumentsHandler& handler) {
   Documents known;
   for (const std::string& hash : hashes) {
-    const auto found = came_along_.find(hash);
-    if (found != came_along_.end())
+    const auto found = inline_documents_.find(hash);
+    if (found != inline_documents_.end())
       known.insert(*found);
   }
   if (known.size() == hashes.size()) {
     handler(std::move(known));
     return;
   }
-  auto reading = std::make_shared<Reading>();
-  reading->outstanding = hashes.size();
+  auto batch = std::make_shared<Batch>();
+  batch->outstanding = hashes.size();
   for (const std::string& hash : hashes) {
     const std::string key = configuration::DocumentKey(fleet_, hash);
-    store_.Read(key, [reading, hash, handler](auto entries) {
+    store_.Read(key, [batch, hash, handler](auto entries) {
       if (!entries)
-        reading->failed = true;
+        batch->failed = true;
       else if (!entries.value().empty())
-        reading->documents[hash] = entries.value()[0].value;
-      if (--reading->outstanding > 0)
+        batch->documents[hash] = entries.value()[0].value;
+      if (--batch->outstanding > 0)
         return;
-      if (reading->failed)
+      if (batch->failed)
         handler(make_error_code(ErrorKind::kStoreUnavailable));
       else
-        handler(std::move(reading->documents));
+        handler(std::move(batch->documents));
     });
   }
 }
@@ -125,13 +125,13 @@
     handler(true);
     return;
   }
-  auto writing = std::make_shared<Reading>();
-  writing->outstanding = documents.size();
+  auto batch = std::make_shared<Batch>();
+  batch->outstanding = documents.size();
   for (const auto& [hash, text] : documents) {
-    WriteDocument(hash, text, [writing, handler](bool written) {
-      writing->failed = writing->failed || !written;
-      if (--writing->outstanding == 0)
-        handler(!writing->failed);
+    WriteDocument(hash, text, [batch, handler](bool written) {
+      batch->failed = batch->failed || !written;
+      if (--batch->outstanding == 0)
+        handler(!batch->failed);
     });
   }
 }
@@ -157,7 +157,7 @@
 
 void ConfigurationStore::SwapHead(const configuration::SwapHead& swap,
                                   SwapHandler handler) {
-  store_.CompareAndSwap(form_.head_key, swap.expected_store_revision,
+  store_.CompareAndSwap(format_.head_key, swap.expected_store_revision,
                         swap.head.ToJson(), kNoLease, std::move(handler));
 }
 
--- a/src/libs/fleet_configuration/configuration_store.h
+++ b/src/libs/fleet_configuration/configuration_store.h
@@ -13,8 +13,8 @@
 #include "configuration/confirm_procedure.h"
 #include "configuration/documents.h"
 #include "configuration/head.h"
-#include "configuration/read_pace.h"
-#include "fleet_configuration/configuration_form.h"
+#include "configuration/read_timing.h"
+#include "fleet_configuration/configuration_format.h"
 #include "store/store_client.h"
 
 namespace chestnutport::fleet_configuration {
@@ -23,11 +23,11 @@
  public:
   using HeadHandler =
       std::function<void(base::Result<configuration::StoredHead>)>;
-  struct Watched {
+  struct WatchResult {
     std::optional<configuration::StoredHead> head;
     int64_t as_of = 0;  // Where to go on from.
   };
-  using WatchHandler = std::function<void(base::Result<Watched>)>;
+  using WatchHandler = std::function<void(base::Result<WatchResult>)>;
   using DocumentsHandler =
       std::function<void(base::Result<configuration::Documents>)>;
   using WrittenHandler = std::function<void(bool all_written)>;
@@ -35,17 +35,17 @@
 
   // `store` must outlive this object.
   ConfigurationStore(store::StoreClient& store,
-                     AnyConfigurationForm form,
+                     AnyConfigurationFormat format,
                      const std::string& fleet);
 
-  const AnyConfigurationForm& form() const { return form_; }
+  const AnyConfigurationFormat& format() const { return format_; }
   // Whether WatchHead() can be used.
   bool CanWatch() const { return store_.CanWatch(); }
   // Waits as long as `times` says for a head newer than the one that was read
   // as of the store's revision `after`; nothing if there was none. The error
   // kStoreUnavailable also says that changes may have been missed.
   void WatchHead(int64_t after,
-                 const configuration::WatchTimes& times,
+                 const configuration::WatchDurations& times,
                  WatchHandler handler);
 
   // No head is revision zero; something that is no head is an error, so that
@@ -60,17 +60,17 @@
   void SwapHead(const configuration::SwapHead& swap, SwapHandler handler);
 
  private:
-  base::Result<configuration::StoredHead> TakeEntry(
+  base::Result<configuration::StoredHead> ParseEntry(
       const store::StoreEntry& entry);
   void WriteDocument(const std::string& hash,
                      const std::string& text,
                      WrittenHandler handler);
 
   store::StoreClient& store_;
-  AnyConfigurationForm form_;
+  AnyConfigurationFormat format_;
   std::string fleet_;
   // Documents that came along with the last head.
-  configuration::Documents came_along_;
+  configuration::Documents inline_documents_;
 };
 
 }  // namespace chestnutport::fleet_configuration
--- a/src/libs/ingress/caller_request.h
+++ b/src/libs/ingress/caller_request.h
@@ -28,7 +28,7 @@
   // Of a request that may not be repeated; empty: none.
   std::string idempotency_key;
   bool may_stop = false;  // One that runs may be stopped halfway.
-  int most_servers = 3;   // That it may be handed to.
+  int max_servers = 3;    // That it may be handed to.
   calls::MoveLimits moves;
   // Where it may run; empty: anywhere.
   std::vector<std::string> regions;
--- a/src/libs/ingress/service_traffic.cc
+++ b/src/libs/ingress/service_traffic.cc
@@ -51,8 +51,8 @@
   // late where the work varies more than the target allows.
   if (hedge_budget_ > 0 && request.target_latency > base::Duration::zero())
     policy.hedge_delay = request.target_latency / kHedgePart;
-  policy.most_servers = request.most_servers;
-  policy.most_sends = request.most_servers + request.moves.if_poor;
+  policy.max_servers = request.max_servers;
+  policy.most_sends = request.max_servers + request.moves.if_poor;
   policy.server_refusals_count = has_fleet_limit_;
   return policy;
 }
--- a/src/libs/membership/gossip.h
+++ b/src/libs/membership/gossip.h
@@ -15,7 +15,7 @@
 #include "absl/container/flat_hash_map.h"
 #include "base/random.h"
 #include "base/time.h"
-#include "evacuation/held_evacuations.h"
+#include "evacuation/local_evacuations.h"
 #include "membership/byte_budget.h"
 #include "membership/datagram_seal.h"
 #include "membership/evidence_spread.h"
@@ -90,7 +90,7 @@
   // When a member was last heard; nothing: never.
   std::optional<base::Instant> heard_at() const { return heard_at_; }
   const evacuation::Evacuations& evacuations() const {
-    return evacuations_.held();
+    return evacuations_.current();
   }
   uint64_t incarnation() const { return incarnation_; }
 
@@ -216,7 +216,7 @@
   MemberTable table_;
   NewsQueue<base::NodeId> news_;
   EvidenceSpread evidence_;
-  evacuation::HeldEvacuations evacuations_;
+  evacuation::LocalEvacuations evacuations_;
   ByteBudget budget_;
   ByteBudget acks_;
   GossipCounters counters_;
--- a/src/libs/membership/gossip_evacuation.cc
+++ b/src/libs/membership/gossip_evacuation.cc
@@ -6,14 +6,14 @@
 void Gossip::OnEvacuationsRead(base::Instant now,
                                const evacuation::Evacuations& read,
                                GossipOutput& output) {
-  if (!left_ && evacuations_.Read(read))
+  if (!left_ && evacuations_.OnStoreRead(read))
     TellEvacuations(now, output);
 }
 
 void Gossip::HearEvacuations(base::Instant now,
                              const evacuation::Evacuations& heard,
                              GossipOutput& output) {
-  if (evacuations_.Hear(heard))
+  if (evacuations_.OnPeerReport(heard))
     TellEvacuations(now, output);
 }
 
--- a/src/libs/membership/gossip_message.cc
+++ b/src/libs/membership/gossip_message.cc
@@ -20,7 +20,7 @@
   evacuation::Evacuations read{fields[0].as<uint64_t>(),
                                fields[1].as<std::vector<std::string>>()};
   if (!std::ranges::is_sorted(read.data_centres) ||
-      read.NameBytes() > evacuation::Evacuations::kLargestNames) {
+      read.NameBytes() > evacuation::Evacuations::kMaxNameBytes) {
     throw msgpack::type_error();
   }
   return read;
--- a/src/libs/membership/gossip_telling.cc
+++ b/src/libs/membership/gossip_telling.cc
@@ -39,7 +39,7 @@
           .digest = table_.digest(),
           .subject = subject,
           .evidence_digest = evidence_.digest(),
-          .evacuations = evacuations_.held()};
+          .evacuations = evacuations_.current()};
 }
 
 void Gossip::Send(const base::SocketAddress& to,
--- a/src/libs/node/adapters.cc
+++ b/src/libs/node/adapters.cc
@@ -1,10 +1,10 @@
 #include "node/adapters.h"
 
-#include "evacuation_store/own_evacuation_form.h"
+#include "evacuation_store/native_evacuation_format.h"
 #include "ingress/own_caller_protocol.h"
 #include "node/own_configuration_form.h"
 #include "server/own_server_protocol.h"
-#include "store/etcd_form.h"
+#include "store/etcd_protocol.h"
 
 namespace chestnutport::node {
 
@@ -12,11 +12,11 @@
   return {
       .callers = ingress::AnyCallerProtocol::Of(ingress::OwnCallerProtocol()),
       .servers = server::AnyServerProtocol::Of(server::OwnServerProtocol()),
-      .store = store::AnyStoreForm::Of(store::EtcdForm()),
-      .configuration = fleet_configuration::AnyConfigurationForm::Of(
+      .store = store::AnyStoreProtocol::Of(store::EtcdProtocol()),
+      .configuration = fleet_configuration::AnyConfigurationFormat::Of(
           OwnConfigurationForm(fleet)),
-      .evacuation = evacuation_store::AnyEvacuationForm::Of(
-          evacuation_store::OwnEvacuationForm(fleet))};
+      .evacuation = evacuation_store::AnyEvacuationFormat::Of(
+          evacuation_store::NativeEvacuationFormat(fleet))};
 }
 
 }  // namespace chestnutport::node
--- a/src/libs/node/adapters.h
+++ b/src/libs/node/adapters.h
@@ -3,20 +3,20 @@
 #ifndef NODE_ADAPTERS_H_
 #define NODE_ADAPTERS_H_
 
-#include "evacuation_store/evacuation_form.h"
-#include "fleet_configuration/configuration_form.h"
+#include "evacuation_store/evacuation_format.h"
+#include "fleet_configuration/configuration_format.h"
 #include "ingress/caller_protocol.h"
 #include "server/server_protocol.h"
-#include "store/store_form.h"
+#include "store/store_protocol.h"
 
 namespace chestnutport::node {
 
 struct Adapters {
   ingress::AnyCallerProtocol callers;
   server::AnyServerProtocol servers;
-  store::AnyStoreForm store;
-  fleet_configuration::AnyConfigurationForm configuration;
-  evacuation_store::AnyEvacuationForm evacuation;
+  store::AnyStoreProtocol store;
+  fleet_configuration::AnyConfigurationFormat configuration;
+  evacuation_store::AnyEvacuationFormat evacuation;
 };
 
 // The product's own forms, for the fleet of that name.
--- a/src/libs/node/control.cc
+++ b/src/libs/node/control.cc
@@ -60,7 +60,7 @@
                      adapters.configuration,
                      settings,
                      {.heard_at = [this] { return membership_.heard_at(); },
-                      .tell_store_lost =
+                      .report_store_lost =
                           [this](bool has_lost) { TellStoreLost(has_lost); }},
                      random),
       evacuation_reader_(loop,
@@ -156,9 +156,9 @@
   self_.operator_address = operator_address();
   self_.control_address = control_address();
   self_.gossip_address = gossip_address();
-  membership_.OnRevisionHeard(
+  membership_.OnRevisionReported(
       [this](uint64_t revision, const membership::Member& from) {
-        configuration_.OnRevisionHeard(revision, from);
+        configuration_.OnRevisionReported(revision, from);
       });
   membership_.OnStoredOthers(
       [this](const std::vector<store::StoreEntry>& others, bool keeps_first) {
@@ -254,9 +254,9 @@
   PublishSnapshot();
 }
 
-void Control::Evacuate(const evacuation_store::EvacuationOrder& order,
+void Control::Evacuate(const evacuation_store::EvacuationRequest& order,
                        evacuation_store::EvacuationWriter::Handler handler) {
-  evacuation_writer_.Carry(
+  evacuation_writer_.Execute(
       order, [this, handler = std::move(handler)](const auto& done) {
         evacuation_reader_.ReadNow();
         handler(done);
--- a/src/libs/node/control.h
+++ b/src/libs/node/control.h
@@ -17,7 +17,7 @@
 #include "fleet/evidence_store.h"
 #include "fleet/fleet_membership.h"
 #include "fleet/request_quarantine.h"
-#include "fleet_configuration/configuration_keeper.h"
+#include "fleet_configuration/configuration_manager.h"
 #include "gate/gate_report.h"
 #include "ingress/traffic_snapshot.h"
 #include "keys/key_ownership.h"
@@ -89,7 +89,7 @@
   bool IsReady() const;
   void SetDraining(bool draining);
   // Reads the store anew after it.
-  void Evacuate(const evacuation_store::EvacuationOrder& order,
+  void Evacuate(const evacuation_store::EvacuationRequest& order,
                 evacuation_store::EvacuationWriter::Handler handler);
   base::Result<bool> ListenForMetrics();
   void OnMembers(std::vector<membership::Member> members);
@@ -117,7 +117,7 @@
   fleet::RequestQuarantine quarantine_;
   fleet::FleetMembership membership_;
   fleet::EvidenceStore evidence_store_;
-  fleet_configuration::ConfigurationKeeper configuration_;
+  fleet_configuration::ConfigurationManager configuration_;
   evacuation_store::EvacuationReader evacuation_reader_;
   evacuation_store::EvacuationWriter evacuation_writer_;
   evacuation::Evacuations evacuations_;
--- a/src/libs/node/control_readings.cc
+++ b/src/libs/node/control_readings.cc
@@ -61,13 +61,13 @@
 
 void AppendConfiguration(
     std::vector<Reading>& readings,
-    const fleet_configuration::ConfigurationKeeper& configuration) {
+    const fleet_configuration::ConfigurationManager& configuration) {
   readings.push_back(
       {Metric::kRevision, "",
        static_cast<double>(configuration.configuration().revision)});
   readings.push_back(
       {Metric::kConfigurationBehind, "", Seconds(configuration.Behind())});
-  if (const auto age = configuration.StoreWordAge())
+  if (const auto age = configuration.StoreStaleness())
     readings.push_back({Metric::kStoreWordAge, "", Seconds(*age)});
 }
 
--- a/src/libs/node/control_readings.h
+++ b/src/libs/node/control_readings.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "fleet/request_quarantine.h"
-#include "fleet_configuration/configuration_keeper.h"
+#include "fleet_configuration/configuration_manager.h"
 #include "gate/gate_report.h"
 #include "membership/gossip_counters.h"
 #include "membership/member.h"
@@ -16,7 +16,7 @@
 
 struct ControlCounts {
   const std::vector<membership::Member>& members;
-  const fleet_configuration::ConfigurationKeeper& configuration;
+  const fleet_configuration::ConfigurationManager& configuration;
   const store::StoreCallCounts& store_calls;
   const gate::GateReport& gate;
   const membership::GossipCounters& gossip;
--- a/src/libs/node/own_configuration_form.h
+++ b/src/libs/node/own_configuration_form.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "fleet_configuration/configuration_form.h"
+#include "fleet_configuration/configuration_format.h"
 
 namespace chestnutport::node {
 
@@ -17,7 +17,7 @@
       std::string_view text) const;
   declarations::Configuration Parse(uint64_t revision,
                                     declarations::DeclarationTexts texts) const;
-  bool IsWritten() const { return true; }
+  bool IsWrittenByNodes() const { return true; }
 
  private:
   std::string head_key_;
--- a/src/libs/operators/operated_node.h
+++ b/src/libs/operators/operated_node.h
@@ -9,7 +9,7 @@
 #include "evacuation/evacuations.h"
 #include "evacuation_store/evacuation_writer.h"
 #include "fleet/request_quarantine.h"
-#include "fleet_configuration/configuration_keeper.h"
+#include "fleet_configuration/configuration_manager.h"
 #include "membership/member.h"
 #include "operators/metrics_api.h"
 
@@ -21,7 +21,7 @@
   const std::vector<membership::Member>& members;
   // As far as this node knows.
   const evacuation::Evacuations& evacuations;
-  fleet_configuration::ConfigurationKeeper& configuration;
+  fleet_configuration::ConfigurationManager& configuration;
   control_calls::ControlCaller& caller;
   fleet::RequestQuarantine& quarantine;
   MetricsApi& metrics;
@@ -30,7 +30,7 @@
   // By an operator's wish, until it is taken back.
   std::function<void(bool draining)> set_draining;
   // Carries out an operator's order.
-  std::function<void(const evacuation_store::EvacuationOrder& order,
+  std::function<void(const evacuation_store::EvacuationRequest& order,
                      evacuation_store::EvacuationWriter::Handler handler)>
       evacuate;
 };
--- a/src/libs/operators/operator_confirm.cc
+++ b/src/libs/operators/operator_confirm.cc
@@ -13,8 +13,8 @@
 namespace {
 
 using base::ErrorKind;
+using configuration::ConfirmOutcome;
 using configuration::ConfirmRequest;
-using configuration::ConfirmVerdict;
 using configuration::Finish;
 using nlohmann::json;
 
@@ -38,7 +38,7 @@
                   const Finish& finish,
                   uint64_t base_revision) {
   json changes = json::array();
-  const auto& documents = node.configuration.held().documents();
+  const auto& documents = node.configuration.local().documents();
   for (const configuration::ConfirmedChange& confirmed :
        configuration::ChangesSince(finish.head, documents, base_revision)) {
     const configuration::Change& change = confirmed.change;
@@ -59,23 +59,23 @@
                  const OperatedNode& node,
                  const Finish& finish,
                  uint64_t base_revision) {
-  switch (finish.verdict) {
-    case ConfirmVerdict::kConfirmed:
+  switch (finish.outcome) {
+    case ConfirmOutcome::kConfirmed:
       SendJson(reply, {{"revision", finish.revision}, {"again", false}});
       return;
-    case ConfirmVerdict::kConfirmedBefore:
+    case ConfirmOutcome::kAlreadyConfirmed:
       SendJson(reply, {{"revision", finish.revision}, {"again", true}});
       return;
-    case ConfirmVerdict::kStale:
+    case ConfirmOutcome::kStale:
       SendError(reply, ErrorKind::kStalePlan,
                 {{"base_revision", base_revision},
                  {"revision", finish.head.revision},
                  {"changed_since", ChangedSince(node, finish, base_revision)}});
       return;
-    case ConfirmVerdict::kUnavailable:
+    case ConfirmOutcome::kUnavailable:
       SendError(reply, ErrorKind::kStoreUnavailable);
       return;
-    case ConfirmVerdict::kUnknown:
+    case ConfirmOutcome::kUnknown:
       SendError(reply, ErrorKind::kStoreOutcomeUnknown);
       return;
   }
--- a/src/libs/operators/operator_evacuation.cc
+++ b/src/libs/operators/operator_evacuation.cc
@@ -14,16 +14,16 @@
 
 using base::ErrorKind;
 using evacuation_store::EvacuationChange;
-using evacuation_store::EvacuationOrder;
+using evacuation_store::EvacuationRequest;
 using nlohmann::json;
 
 // Nothing if the body is malformed. The plan is empty if none is named.
-std::optional<EvacuationOrder> ReadOrder(const std::string& body) {
+std::optional<EvacuationRequest> ReadOrder(const std::string& body) {
   const json object = json::parse(body, nullptr, false);
   if (!object.is_object())
     return std::nullopt;
   try {
-    EvacuationOrder order;
+    EvacuationRequest order;
     order.change.data_centre = object.at("data_centre").get<std::string>();
     order.change.is_evacuated = object.at("evacuated").get<bool>();
     order.plan_id = object.value("plan", "");
--- a/src/libs/operators/operator_history.cc
+++ b/src/libs/operators/operator_history.cc
@@ -9,7 +9,7 @@
 using nlohmann::json;
 
 void AnswerHistory(const OperatedNode& node, net::Reply reply) {
-  const configuration::Head& head = node.configuration.held().head();
+  const configuration::Head& head = node.configuration.local().head();
   json confirmations = json::array();
   for (auto entry = head.history.rbegin(); entry != head.history.rend();
        ++entry) {
--- a/src/libs/operators/operator_plan.cc
+++ b/src/libs/operators/operator_plan.cc
@@ -39,16 +39,16 @@
   json changes = json::array();
   for (const configuration::Change& change : plan.changes)
     changes.push_back(ToJson(change));
-  json touched = json::array();
-  for (const configuration::TouchedService& service : plan.touched) {
-    touched.push_back({{"service", service.service},
-                       {"servers", CountServers(node, service.service)},
-                       {"tenants", service.tenants}});
+  json affected = json::array();
+  for (const configuration::AffectedService& service : plan.affected) {
+    affected.push_back({{"service", service.service},
+                        {"servers", CountServers(node, service.service)},
+                        {"tenants", service.tenants}});
   }
   SendJson(reply, {{"plan", plan.id},
                    {"base_revision", plan.base_revision},
                    {"changes", changes},
-                   {"touches", touched}});
+                   {"touches", affected}});
 }
 
 }  // namespace chestnutport::operators
--- a/src/libs/operators/operator_revisions.cc
+++ b/src/libs/operators/operator_revisions.cc
@@ -11,8 +11,8 @@
 namespace chestnutport::operators {
 namespace {
 
-using configuration::FetchAnswer;
 using configuration::FetchRequest;
+using configuration::FetchResponse;
 using membership::Member;
 using nlohmann::json;
 
@@ -57,7 +57,7 @@
         member.control_address, configuration::kFetchMethod, request.ToJson(),
         kTimeout, [survey = shared_from_this(), member](const auto& text) {
           const auto answer =
-              text ? FetchAnswer::FromJson(text.value()) : std::nullopt;
+              text ? FetchResponse::FromJson(text.value()) : std::nullopt;
           survey->Add(member, answer ? json(answer->revision) : json(nullptr));
           --survey->asked_;
           survey->AskSome();
@@ -98,7 +98,7 @@
 }  // namespace
 
 void AnswerRevisions(const OperatedNode& node, net::Reply reply) {
-  const uint64_t own = node.configuration.held().head().revision;
+  const uint64_t own = node.configuration.local().head().revision;
   std::make_shared<RevisionSurvey>(node.caller, own, std::move(reply))
       ->Run(node.self, node.members);
 }
--- a/src/libs/operators/operator_status.cc
+++ b/src/libs/operators/operator_status.cc
@@ -21,7 +21,7 @@
     members.push_back(json::parse(member.ToJson()));
   SendJson(reply, {{"node", node.self.id.ToString()},
                    {"name", node.self.name},
-                   {"revision", node.configuration.held().head().revision},
+                   {"revision", node.configuration.local().head().revision},
                    {"reads_store", node.configuration.is_reader()},
                    {"members", members}});
 }
--- a/src/libs/store/etcd_form.cc
+++ b/src/libs/store/etcd_protocol.cc
@@ -1,4 +1,4 @@
-#include "store/etcd_form.h"
+#include "store/etcd_protocol.h"
 
 #include <nlohmann/json.hpp>
 
@@ -66,18 +66,18 @@
 
 }  // namespace
 
-net::HttpRequest EtcdForm::List(const std::string& prefix,
-                                const std::string& after,
-                                Freshness freshness) const {
+net::HttpRequest EtcdProtocol::List(const std::string& prefix,
+                                    const std::string& after,
+                                    Freshness freshness) const {
   const std::string from =
       after.empty() ? prefix : absl::StrCat(after, std::string(1, '\0'));
   json body = {{"key", Encode(from)}, {"range_end", Encode(PrefixEnd(prefix))}};
-  if (freshness == Freshness::kMayBeOld)
+  if (freshness == Freshness::kMayBeStale)
     body["serializable"] = true;
   return Post("/v3/kv/range", body);
 }
 
-base::Result<StorePage> EtcdForm::ReadPage(
+base::Result<StorePage> EtcdProtocol::ParsePage(
     const net::HttpAnswer& answer) const {
   const json body = Parse(answer);
   if (!body.is_object())
@@ -97,16 +97,16 @@
   return page;
 }
 
-net::HttpRequest EtcdForm::Read(const std::string& key) const {
+net::HttpRequest EtcdProtocol::Read(const std::string& key) const {
   return Post("/v3/kv/range", {{"key", Encode(key)}});
 }
 
-base::Result<StorePage> EtcdForm::ReadEntry(
+base::Result<StorePage> EtcdProtocol::ParseEntry(
     const net::HttpAnswer& answer) const {
-  return ReadPage(answer);
+  return ParsePage(answer);
 }
 
-net::HttpRequest EtcdForm::Swap(const StoreSwap& swap) const {
+net::HttpRequest EtcdProtocol::Swap(const StoreSwap& swap) const {
   const json compare = {{"key", Encode(swap.key)},
                         {"target", "MOD"},
                         {"result", "EQUAL"},
@@ -119,7 +119,8 @@
                {"success", json::array({{{"request_put", put}}})}});
 }
 
-base::Result<bool> EtcdForm::ReadSwapped(const net::HttpAnswer& answer) const {
+base::Result<bool> EtcdProtocol::ParseSwap(
+    const net::HttpAnswer& answer) const {
   const json body = Parse(answer);
   if (!body.is_object())
     return make_error_code(ErrorKind::kStoreOutcomeUnknown);
@@ -132,12 +133,13 @@
   return succeeded->get<bool>();
 }
 
-net::HttpRequest EtcdForm::Grant(std::chrono::milliseconds time_to_live) const {
+net::HttpRequest EtcdProtocol::Grant(
+    std::chrono::milliseconds time_to_live) const {
   const auto seconds = std::chrono::ceil<std::chrono::seconds>(time_to_live);
   return Post("/v3/lease/grant", {{"TTL", absl::StrCat(seconds.count())}});
 }
 
-base::Result<LeaseId> EtcdForm::ReadGranted(
+base::Result<LeaseId> EtcdProtocol::ParseGrant(
     const net::HttpAnswer& answer) const {
   const json body = Parse(answer);
   const LeaseId lease = body.is_object() ? Number(body, "ID") : 0;
@@ -146,11 +148,12 @@
   return lease;
 }
 
-net::HttpRequest EtcdForm::KeepAlive(LeaseId lease) const {
+net::HttpRequest EtcdProtocol::KeepAlive(LeaseId lease) const {
   return Post("/v3/lease/keepalive", {{"ID", absl::StrCat(lease)}});
 }
 
-base::Result<bool> EtcdForm::ReadKept(const net::HttpAnswer& answer) const {
+base::Result<bool> EtcdProtocol::ParseKeepAlive(
+    const net::HttpAnswer& answer) const {
   if (answer.status != kOk)
     return make_error_code(ErrorKind::kStoreUnavailable);
   const json body = Parse(answer);
@@ -158,13 +161,13 @@
          body["result"].is_object() && Number(body["result"], "TTL") > 0;
 }
 
-net::HttpRequest EtcdForm::Watch(const std::string& prefix,
-                                 int64_t /*after*/,
-                                 std::chrono::milliseconds /*wait*/) const {
+net::HttpRequest EtcdProtocol::Watch(const std::string& prefix,
+                                     int64_t /*after*/,
+                                     std::chrono::milliseconds /*wait*/) const {
   return List(prefix, "", Freshness::kLatest);
 }
 
-base::Result<StoreNews> EtcdForm::ReadNews(
+base::Result<StoreChanges> EtcdProtocol::ParseChanges(
     const net::HttpAnswer& /*answer*/) const {
   return make_error_code(ErrorKind::kStoreUnavailable);
 }
--- a/src/libs/store/store_call_counts.h
+++ b/src/libs/store/store_call_counts.h
@@ -30,16 +30,16 @@
  public:
   void Add(CallKind kind, CallResult result) { ++At(kind, result); }
   uint64_t Of(CallKind kind, CallResult result) const {
-    return counts_[Place(kind, result)];
+    return counts_[IndexOf(kind, result)];
   }
 
  private:
-  static size_t Place(CallKind kind, CallResult result) {
+  static size_t IndexOf(CallKind kind, CallResult result) {
     return static_cast<size_t>(kind) * kCallResults.size() +
            static_cast<size_t>(result);
   }
   uint64_t& At(CallKind kind, CallResult result) {
-    return counts_[Place(kind, result)];
+    return counts_[IndexOf(kind, result)];
   }
 
   std::array<uint64_t, kCallKinds.size() * kCallResults.size()> counts_{};
--- a/src/libs/store/store_client.cc
+++ b/src/libs/store/store_client.cc
@@ -19,7 +19,7 @@
 StoreClient::StoreClient(net::HttpClient& http,
                          std::vector<base::SocketAddress> addresses,
                          std::chrono::milliseconds timeout,
-                         AnyStoreForm form)
+                         AnyStoreProtocol form)
     : http_(http),
       addresses_(std::move(addresses)),
       timeout_(timeout),
@@ -55,7 +55,7 @@
            handler(answer.error());
            return;
          }
-         auto page = form_.read_page(answer.value());
+         auto page = form_.parse_page(answer.value());
          if (!page) {
            handler(page.error());
            return;
@@ -92,7 +92,7 @@
   Call(form_.read(key), timeout_, CallKind::kRead,
        [this, handler = std::move(handler)](
            const base::Result<net::HttpAnswer>& answer) {
-         handler(answer ? form_.read_entry(answer.value()) : answer.error());
+         handler(answer ? form_.parse_entry(answer.value()) : answer.error());
        });
 }
 
@@ -104,7 +104,7 @@
   Call(form_.swap({key, expected, value, lease}), timeout_, CallKind::kWrite,
        [this, handler = std::move(handler)](
            const base::Result<net::HttpAnswer>& answer) {
-         handler(answer ? form_.read_swapped(answer.value()) : answer.error());
+         handler(answer ? form_.parse_swap(answer.value()) : answer.error());
        });
 }
 
@@ -113,7 +113,7 @@
   Call(form_.grant(time_to_live), timeout_, CallKind::kLease,
        [this, handler = std::move(handler)](
            const base::Result<net::HttpAnswer>& answer) {
-         handler(answer ? form_.read_granted(answer.value()) : answer.error());
+         handler(answer ? form_.parse_grant(answer.value()) : answer.error());
        });
 }
 
@@ -121,19 +121,20 @@
   Call(form_.keep_alive(lease), timeout_, CallKind::kLease,
        [this, handler = std::move(handler)](
            const base::Result<net::HttpAnswer>& answer) {
-         handler(answer ? form_.read_kept(answer.value()) : answer.error());
+         handler(answer ? form_.parse_keep_alive(answer.value())
+                        : answer.error());
        });
 }
 
 void StoreClient::Watch(const std::string& prefix,
                         int64_t after,
                         std::chrono::milliseconds wait,
-                        std::chrono::milliseconds patience,
-                        NewsHandler handler) {
-  Call(form_.watch(prefix, after, wait), wait + patience, CallKind::kWatch,
+                        std::chrono::milliseconds grace,
+                        ChangesHandler handler) {
+  Call(form_.watch(prefix, after, wait), wait + grace, CallKind::kWatch,
        [this, handler = std::move(handler)](
            const base::Result<net::HttpAnswer>& answer) {
-         handler(answer ? form_.read_news(answer.value()) : answer.error());
+         handler(answer ? form_.parse_changes(answer.value()) : answer.error());
        });
 }
 
--- a/src/libs/store/store_client.h
+++ b/src/libs/store/store_client.h
@@ -11,10 +11,10 @@
 #include "base/result.h"
 #include "base/socket_address.h"
 #include "net/http_client.h"
-#include "store/etcd_form.h"
+#include "store/etcd_protocol.h"
 #include "store/store_call_counts.h"
 #include "store/store_entry.h"
-#include "store/store_form.h"
+#include "store/store_protocol.h"
 
 namespace chestnutport::store {
 
@@ -29,13 +29,13 @@
   // True if the write took place, false if the revision was another.
   using SwapHandler = std::function<void(base::Result<bool>)>;
   using LeaseHandler = std::function<void(base::Result<LeaseId>)>;
-  using NewsHandler = std::function<void(base::Result<StoreNews>)>;
+  using ChangesHandler = std::function<void(base::Result<StoreChanges>)>;
 
   // The references must outlive the client.
   StoreClient(net::HttpClient& http,
               std::vector<base::SocketAddress> addresses,
               std::chrono::milliseconds timeout,
-              AnyStoreForm form = AnyStoreForm::Of(EtcdForm()));
+              AnyStoreProtocol form = AnyStoreProtocol::Of(EtcdProtocol()));
 
   // All entries whose key begins with `prefix`, in the order of the keys.
   void ListPrefix(const std::string& prefix,
@@ -61,15 +61,15 @@
   bool CanWatch() const { return form_.can_watch; }
   // Whether listings that may be old count toward the store's rate; if not,
   // any number of nodes may ask for them at once.
-  bool CountsOldListings() const { return form_.counts_old_listings; }
+  bool CountsStaleListings() const { return form_.counts_stale_listings; }
   // Changes of keys that begin with `prefix` after the revision `after`, as
   // soon as there are any; none after `wait`. An error if no answer came
   // `patience` later.
   void Watch(const std::string& prefix,
              int64_t after,
              std::chrono::milliseconds wait,
-             std::chrono::milliseconds patience,
-             NewsHandler handler);
+             std::chrono::milliseconds grace,
+             ChangesHandler handler);
 
   // Calls that have ended.
   const StoreCallCounts& calls() const { return calls_; }
@@ -89,7 +89,7 @@
   net::HttpClient& http_;
   std::vector<base::SocketAddress> addresses_;
   std::chrono::milliseconds timeout_;
-  AnyStoreForm form_;
+  AnyStoreProtocol form_;
   size_t current_ = 0;
   StoreCallCounts calls_;
 };
--- a/src/libs/store/store_entry.h
+++ b/src/libs/store/store_entry.h
@@ -23,15 +23,15 @@
 };
 
 // What happened to the keys with a prefix.
-struct StoreNews {
+struct StoreChanges {
   std::vector<StoreEntry> changed;  // As written, in order.
   int removed = 0;                  // Keys that were there before.
   int64_t as_of = 0;                // Where to go on from.
-  bool history_lost = false;        // Changes were missed: list again.
+  bool changes_missed = false;      // Changes were missed: list again.
 };
 
 // Whether a listing has to be of now: one that may be seconds old is cheaper.
-enum class Freshness { kLatest, kMayBeOld };
+enum class Freshness { kLatest, kMayBeStale };
 
 using LeaseId = int64_t;  // Zero: no lease.
 
--- a/src/libs/store/store_form.h
+++ b/src/libs/store/store_protocol.h
@@ -1,6 +1,6 @@
 // The form of a key-value service: how calls are written and answers read.
-#ifndef STORE_STORE_FORM_H_
-#define STORE_STORE_FORM_H_
+#ifndef STORE_STORE_PROTOCOL_H_
+#define STORE_STORE_PROTOCOL_H_
 
 #include <chrono>
 #include <concepts>
@@ -24,81 +24,83 @@
 // Every answer is given with its status. Reading gives kStoreUnavailable if
 // nothing was done, and kStoreOutcomeUnknown if a write may have taken effect.
 template <typename Form>
-concept StoreForm = requires(const Form& form,
-                             const std::string& text,
-                             const StoreSwap& swap,
-                             LeaseId lease,
-                             std::chrono::milliseconds time,
-                             int64_t revision,
-                             const net::HttpAnswer& answer) {
+concept StoreProtocol = requires(const Form& form,
+                                 const std::string& text,
+                                 const StoreSwap& swap,
+                                 LeaseId lease,
+                                 std::chrono::milliseconds time,
+                                 int64_t revision,
+                                 const net::HttpAnswer& answer) {
   // The entries whose keys begin with a prefix, after a key (empty: from the
   // first on).
   {
     form.List(text, text, Freshness::kLatest)
     } -> std::same_as<net::HttpRequest>;
-  { form.ReadPage(answer) } -> std::same_as<base::Result<StorePage>>;
+  { form.ParsePage(answer) } -> std::same_as<base::Result<StorePage>>;
   // The entry of one key; its page is empty if there is none.
   { form.Read(text) } -> std::same_as<net::HttpRequest>;
-  { form.ReadEntry(answer) } -> std::same_as<base::Result<StorePage>>;
+  { form.ParseEntry(answer) } -> std::same_as<base::Result<StorePage>>;
   { form.Swap(swap) } -> std::same_as<net::HttpRequest>;
-  { form.ReadSwapped(answer) } -> std::same_as<base::Result<bool>>;
+  { form.ParseSwap(answer) } -> std::same_as<base::Result<bool>>;
   { form.Grant(time) } -> std::same_as<net::HttpRequest>;
-  { form.ReadGranted(answer) } -> std::same_as<base::Result<LeaseId>>;
+  { form.ParseGrant(answer) } -> std::same_as<base::Result<LeaseId>>;
   { form.KeepAlive(lease) } -> std::same_as<net::HttpRequest>;
-  { form.ReadKept(answer) } -> std::same_as<base::Result<bool>>;
+  { form.ParseKeepAlive(answer) } -> std::same_as<base::Result<bool>>;
   // Waits up to a time for changes after a revision.
   { form.Watch(text, revision, time) } -> std::same_as<net::HttpRequest>;
-  { form.ReadNews(answer) } -> std::same_as<base::Result<StoreNews>>;
+  { form.ParseChanges(answer) } -> std::same_as<base::Result<StoreChanges>>;
   { form.CanWatch() } -> std::same_as<bool>;
   // Whether listings that may be old count toward the store's rate.
-  { form.CountsOldListings() } -> std::same_as<bool>;
+  { form.CountsStaleListings() } -> std::same_as<bool>;
 };
 
-// Any StoreForm, by value.
-struct AnyStoreForm {
-  template <StoreForm Form>
-  static AnyStoreForm Of(const Form& form) {
+// Any StoreProtocol, by value.
+struct AnyStoreProtocol {
+  template <StoreProtocol Form>
+  static AnyStoreProtocol Of(const Form& form) {
     return {
         .list =
             [form](const auto& prefix, const auto& after, Freshness freshness) {
               return form.List(prefix, after, freshness);
             },
-        .read_page = [form](const auto& a) { return form.ReadPage(a); },
+        .parse_page = [form](const auto& a) { return form.ParsePage(a); },
         .read = [form](const auto& key) { return form.Read(key); },
-        .read_entry = [form](const auto& a) { return form.ReadEntry(a); },
+        .parse_entry = [form](const auto& a) { return form.ParseEntry(a); },
         .swap = [form](const auto& swap) { return form.Swap(swap); },
-        .read_swapped = [form](const auto& a) { return form.ReadSwapped(a); },
+        .parse_swap = [form](const auto& a) { return form.ParseSwap(a); },
         .grant = [form](auto time) { return form.Grant(time); },
-        .read_granted = [form](const auto& a) { return form.ReadGranted(a); },
+        .parse_grant = [form](const auto& a) { return form.ParseGrant(a); },
         .keep_alive = [form](LeaseId lease) { return form.KeepAlive(lease); },
-        .read_kept = [form](const auto& a) { return form.ReadKept(a); },
+        .parse_keep_alive =
+            [form](const auto& a) { return form.ParseKeepAlive(a); },
         .watch = [form](const auto& prefix, int64_t after,
                         auto wait) { return form.Watch(prefix, after, wait); },
-        .read_news = [form](const auto& a) { return form.ReadNews(a); },
+        .parse_changes = [form](const auto& a) { return form.ParseChanges(a); },
         .can_watch = form.CanWatch(),
-        .counts_old_listings = form.CountsOldListings()};
+        .counts_stale_listings = form.CountsStaleListings()};
   }
 
   std::function<
       net::HttpRequest(const std::string&, const std::string&, Freshness)>
       list;
-  std::function<base::Result<StorePage>(const net::HttpAnswer&)> read_page;
+  std::function<base::Result<StorePage>(const net::HttpAnswer&)> parse_page;
   std::function<net::HttpRequest(const std::string&)> read;
-  std::function<base::Result<StorePage>(const net::HttpAnswer&)> read_entry;
+  std::function<base::Result<StorePage>(const net::HttpAnswer&)> parse_entry;
   std::function<net::HttpRequest(const StoreSwap&)> swap;
-  std::function<base::Result<bool>(const net::HttpAnswer&)> read_swapped;
+  std::function<base::Result<bool>(const net::HttpAnswer&)> parse_swap;
   std::function<net::HttpRequest(std::chrono::milliseconds)> grant;
-  std::function<base::Result<LeaseId>(const net::HttpAnswer&)> read_granted;
+  std::function<base::Result<LeaseId>(const net::HttpAnswer&)> parse_grant;
   std::function<net::HttpRequest(LeaseId)> keep_alive;
-  std::function<base::Result<bool>(const net::HttpAnswer&)> read_kept;
+  std::function<base::Result<bool>(const net::HttpAnswer&)> parse_keep_alive;
   std::function<
       net::HttpRequest(const std::string&, int64_t, std::chrono::milliseconds)>
       watch;
-  std::function<base::Result<StoreNews>(const net::HttpAnswer&)> read_news;
+  std::function<base::Result<StoreChanges>(const net::HttpAnswer&)>
+      parse_changes;
   bool can_watch = false;
-  bool counts_old_listings = true;
+  bool counts_stale_listings = true;
 };
 
 }  // namespace chestnutport::store
 
-#endif  // STORE_STORE_FORM_H_
+#endif  // STORE_STORE_PROTOCOL_H_
--- a/tests/auto/calls/moved_call_test.cc
+++ b/tests/auto/calls/moved_call_test.cc
@@ -22,7 +22,7 @@
 
 CallPolicy OneServerThreeMoves() {
   CallPolicy policy;
-  policy.most_servers = 1;
+  policy.max_servers = 1;
   policy.most_sends = 4;
   policy.server_refusals_count = true;
   return policy;
@@ -58,7 +58,7 @@
     CHECK(Are(call.OnAttemptEnd(0, kShed, kStart), {Step::kAnswer}));
   }
   SECTION("of two: the second, if the fleet may spend one") {
-    policy.most_servers = 2;
+    policy.max_servers = 2;
     const bool may = GENERATE(true, false);
     if (!may)
       budgets.service = calls::RetryBudget::Empty(0, 5);
@@ -73,7 +73,7 @@
   Budgets budgets;
   CallPolicy policy = OneServerThreeMoves();
   policy.is_repeatable = true;
-  policy.most_servers = 2;
+  policy.max_servers = 2;
   policy.hedge_delay = milliseconds(100);
   Call call(policy, kStart, kDeadline, budgets.All());
   call.Start(kStart);
--- a/tests/auto/configuration/confirm_procedure_test.cc
+++ b/tests/auto/configuration/confirm_procedure_test.cc
@@ -40,7 +40,7 @@
   using ConfirmProcedure::ConfirmProcedure;
   ConfirmStep OnSwap(base::Instant now, const base::Result<bool>& swapped) {
     if (!swapped)
-      return Finish{ConfirmVerdict::kUnavailable, 0, {}};
+      return Finish{ConfirmOutcome::kUnavailable, 0, {}};
     return ConfirmProcedure::OnSwap(now, swapped);
   }
 };
@@ -113,13 +113,13 @@
     if (Draw(6) == 0) {
       const base::Result<StoredHead> error =
           make_error_code(ErrorKind::kStoreUnavailable);
-      return self.procedure.OnHead(now_, error, held_, 0);
+      return self.procedure.OnHead(now_, error, local_, 0);
     }
     // Sometimes an old reading.
     const size_t back = Draw(5) == 0 ? Draw(store_.past.size()) : 0;
     const base::Result<StoredHead> stored =
         store_.past[store_.past.size() - 1 - back];
-    return self.procedure.OnHead(now_, stored, held_, 0);
+    return self.procedure.OnHead(now_, stored, local_, 0);
   }
 
   ConfirmStep Act(Operator& self, const WriteDocuments& step) {
@@ -155,9 +155,9 @@
     }
   }
 
-  ConfirmStep Act(Operator& self, const Pause& step) {
+  ConfirmStep Act(Operator& self, const Backoff& step) {
     now_ += step.duration / 4;
-    return self.procedure.OnPause();
+    return self.procedure.OnBackoffElapsed();
   }
 
   ConfirmStep Act(Operator&, const Finish& step) { return step; }
@@ -182,10 +182,10 @@
     }
     for (const auto& [plan, finish] : told_) {
       const bool confirmed = plans.contains(plan);
-      const bool said_yes = finish.verdict == ConfirmVerdict::kConfirmed ||
-                            finish.verdict == ConfirmVerdict::kConfirmedBefore;
-      const bool said_no = finish.verdict == ConfirmVerdict::kStale ||
-                           finish.verdict == ConfirmVerdict::kUnavailable;
+      const bool said_yes = finish.outcome == ConfirmOutcome::kConfirmed ||
+                            finish.outcome == ConfirmOutcome::kAlreadyConfirmed;
+      const bool said_no = finish.outcome == ConfirmOutcome::kStale ||
+                           finish.outcome == ConfirmOutcome::kUnavailable;
       if (said_yes && !confirmed)
         return "confirmed was said of a plan that is not";
       if (said_no && confirmed && !AnotherConfirmed(plan))
@@ -205,7 +205,7 @@
   base::Random random_;
   base::Instant now_;
   FakeStore store_;
-  Head held_;
+  Head local_;
   std::deque<SwapHead> late_;
   std::vector<Operator> running_;
   std::vector<std::pair<std::string, Finish>> told_;
@@ -240,31 +240,31 @@
   ConfirmRequest request{0, PlanId(0, texts), "alice", "t", texts};
   ConfirmProcedure procedure(request, start + std::chrono::seconds(8));
   REQUIRE(std::holds_alternative<ReadHead>(procedure.Start()));
-  const auto verdict = [](const ConfirmStep& step) {
-    return std::get<Finish>(step).verdict;
+  const auto outcome = [](const ConfirmStep& step) {
+    return std::get<Finish>(step).outcome;
   };
 
   SECTION("a store that never answers: nothing was changed") {
     const base::Result<StoredHead> down =
         make_error_code(ErrorKind::kStoreUnavailable);
     REQUIRE(
-        std::holds_alternative<Pause>(procedure.OnHead(start, down, {}, 0)));
-    CHECK(verdict(procedure.OnHead(late, down, {}, 0)) ==
-          ConfirmVerdict::kUnavailable);
+        std::holds_alternative<Backoff>(procedure.OnHead(start, down, {}, 0)));
+    CHECK(outcome(procedure.OnHead(late, down, {}, 0)) ==
+          ConfirmOutcome::kUnavailable);
   }
   SECTION("a node that heard of a newer revision waits for it") {
-    CHECK(std::holds_alternative<Pause>(
+    CHECK(std::holds_alternative<Backoff>(
         procedure.OnHead(start, StoredHead{}, {}, 1)));
     Head newer = NextHead({}, {}, {.plan_id = "other"});
-    CHECK(verdict(procedure.OnHead(start, StoredHead{}, newer, 1)) ==
-          ConfirmVerdict::kStale);
+    CHECK(outcome(procedure.OnHead(start, StoredHead{}, newer, 1)) ==
+          ConfirmOutcome::kStale);
   }
   SECTION("a plan that others confirmed upon is found in the history") {
     Head head = NextHead({}, MakeManifest(texts), {.plan_id = request.plan_id});
     head = NextHead(head, {}, {.plan_id = "other"});
     const ConfirmStep step =
         procedure.OnHead(start, StoredHead{head, 2}, {}, 0);
-    CHECK(verdict(step) == ConfirmVerdict::kConfirmedBefore);
+    CHECK(outcome(step) == ConfirmOutcome::kAlreadyConfirmed);
     CHECK(std::get<Finish>(step).revision == 1);
   }
   SECTION("once it is sent") {
@@ -276,20 +276,20 @@
         make_error_code(ErrorKind::kStoreOutcomeUnknown);
 
     SECTION("a lost answer is resolved by reading back") {
-      REQUIRE(std::holds_alternative<Pause>(procedure.OnSwap(start, lost)));
+      REQUIRE(std::holds_alternative<Backoff>(procedure.OnSwap(start, lost)));
       const StoredHead mine{std::get<SwapHead>(swap).head, 1};
-      CHECK(verdict(procedure.OnHead(start, mine, {}, 0)) ==
-            ConfirmVerdict::kConfirmed);
+      CHECK(outcome(procedure.OnHead(start, mine, {}, 0)) ==
+            ConfirmOutcome::kConfirmed);
     }
     SECTION("if that fails too, the operator is told that it is unknown") {
-      CHECK(verdict(procedure.OnSwap(late, lost)) == ConfirmVerdict::kUnknown);
+      CHECK(outcome(procedure.OnSwap(late, lost)) == ConfirmOutcome::kUnknown);
     }
     SECTION("another's revision in its place is told with what changed") {
       procedure.OnSwap(start, lost);
       const Head other = NextHead({}, {}, {.plan_id = "other"});
       const ConfirmStep step =
           procedure.OnHead(start, StoredHead{other, 1}, {}, 0);
-      CHECK(verdict(step) == ConfirmVerdict::kStale);
+      CHECK(outcome(step) == ConfirmOutcome::kStale);
       CHECK(std::get<Finish>(step).head.revision == 1);
     }
   }
--- a/tests/auto/configuration/head_test.cc
+++ b/tests/auto/configuration/head_test.cc
@@ -92,10 +92,11 @@
       text = std::to_string(round);
     head = Confirm(head, texts);
   }
-  CHECK(head.history.size() == kHistoryLength);
+  CHECK(head.history.size() == kMaxHistoryEntries);
   CHECK(head.history.front().forgotten);
   CHECK_FALSE(head.history.back().forgotten);
-  // Each of kHistoryDetail and of the manifest's 200 lines has about 60 bytes.
+  // Each of kMaxHistoryServices and of the manifest's 200 lines has about 60
+  // bytes.
   CHECK(head.ToJson().size() < 100 * 1024);
 }
 
--- a/tests/auto/configuration/held_configuration_test.cc
+++ b/tests/auto/configuration/held_configuration_test.cc
@@ -1,5 +1,5 @@
 // What a node takes into force, whatever reaches it in whatever order.
-#include "configuration/held_configuration.h"
+#include "configuration/local_configuration.h"
 
 #include <rapidcheck/catch.h>
 
@@ -34,9 +34,9 @@
 // source to know best.
 class Credulous {
  public:
-  Adoption Offer(const Head& head, const Documents&) {
+  ApplyResult Apply(const Head& head, const Documents&) {
     head_ = head;
-    return Adoption::kAdopted;
+    return ApplyResult::kApplied;
   }
   const Head& head() const { return head_; }
 
@@ -47,13 +47,13 @@
 // Offers revisions in the order of `offered`; false if one went back.
 template <typename Held>
 bool NeverGoesBack(const std::vector<int>& offered) {
-  Held held;
+  Held local;
   uint64_t greatest = 0;
   for (const int revision : offered) {
     const auto number = static_cast<uint64_t>(revision);
-    held.Offer(MakeHead(number), DocumentsOf(number));
+    local.Apply(MakeHead(number), DocumentsOf(number));
     greatest = std::max(greatest, number);
-    if (held.head().revision != greatest)
+    if (local.head().revision != greatest)
       return false;
   }
   return true;
@@ -63,41 +63,41 @@
   rc::prop("whatever the order of the offers", [] {
     const auto offered =
         *rc::gen::container<std::vector<int>>(rc::gen::inRange(1, kRevisions));
-    RC_ASSERT(NeverGoesBack<HeldConfiguration>(offered));
+    RC_ASSERT(NeverGoesBack<LocalConfiguration>(offered));
   });
   CHECK_FALSE(NeverGoesBack<Credulous>({3, 2}));
 }
 
 TEST_CASE("only a whole configuration is taken") {
-  HeldConfiguration held;
-  REQUIRE(held.Offer(MakeHead(1), DocumentsOf(1)) == Adoption::kAdopted);
-  CHECK(held.Offer(MakeHead(1), DocumentsOf(1)) == Adoption::kNotNewer);
-  CHECK(held.Offer(MakeHead(2), {}) == Adoption::kIncomplete);
-  CHECK(held.Offer(MakeHead(2), {{DocumentHash(Text(2)), "other"}}) ==
-        Adoption::kIncomplete);
-  CHECK(held.head().revision == 1);
-  CHECK(held.Offer(MakeHead(2), DocumentsOf(2)) == Adoption::kAdopted);
+  LocalConfiguration local;
+  REQUIRE(local.Apply(MakeHead(1), DocumentsOf(1)) == ApplyResult::kApplied);
+  CHECK(local.Apply(MakeHead(1), DocumentsOf(1)) == ApplyResult::kNotNewer);
+  CHECK(local.Apply(MakeHead(2), {}) == ApplyResult::kIncomplete);
+  CHECK(local.Apply(MakeHead(2), {{DocumentHash(Text(2)), "other"}}) ==
+        ApplyResult::kIncomplete);
+  CHECK(local.head().revision == 1);
+  CHECK(local.Apply(MakeHead(2), DocumentsOf(2)) == ApplyResult::kApplied);
 }
 
 TEST_CASE("a node fetches from another what it lacks") {
-  HeldConfiguration newer;
-  newer.Offer(MakeHead(5), DocumentsOf(5));
-  PackedDocuments packed;
+  LocalConfiguration newer;
+  newer.Apply(MakeHead(5), DocumentsOf(5));
+  PackedDocumentCache packed;
 
   SECTION("only the documents that changed since") {
-    const FetchAnswer answer = AnswerFetch({4}, newer, packed);
+    const FetchResponse answer = MakeFetchResponse({4}, newer, packed);
     CHECK(answer.packed.size() == 1);
-    HeldConfiguration older;
-    older.Offer(MakeHead(4), DocumentsOf(4));
-    const auto read = FetchAnswer::FromJson(answer.ToJson());
+    LocalConfiguration older;
+    older.Apply(MakeHead(4), DocumentsOf(4));
+    const auto read = FetchResponse::FromJson(answer.ToJson());
     REQUIRE(read);
-    CHECK(older.Offer(*read->head, read->documents) == Adoption::kAdopted);
+    CHECK(older.Apply(*read->head, read->documents) == ApplyResult::kApplied);
   }
   SECTION("all of them if it has nothing") {
-    CHECK(AnswerFetch({0}, newer, packed).packed.size() == 2);
+    CHECK(MakeFetchResponse({0}, newer, packed).packed.size() == 2);
   }
   SECTION("nothing but the revision if it is as new") {
-    const FetchAnswer answer = AnswerFetch({5}, newer, packed);
+    const FetchResponse answer = MakeFetchResponse({5}, newer, packed);
     CHECK(answer.revision == 5);
     CHECK_FALSE(answer.head);
     CHECK(answer.ToJson().size() < 30);
@@ -105,8 +105,8 @@
   SECTION("a malformed message is refused") {
     CHECK_FALSE(FetchRequest::FromJson("{\"have\": -1}"));
     CHECK_FALSE(FetchRequest::FromJson("[]"));
-    CHECK_FALSE(FetchAnswer::FromJson("{\"revision\": 1, \"head\": 7}"));
-    CHECK_FALSE(FetchAnswer::FromJson("{\"revision\": 1, \"head\": \"x\"}"));
+    CHECK_FALSE(FetchResponse::FromJson("{\"revision\": 1, \"head\": 7}"));
+    CHECK_FALSE(FetchResponse::FromJson("{\"revision\": 1, \"head\": \"x\"}"));
   }
 }
 
--- a/tests/auto/configuration/packed_documents_test.cc
+++ b/tests/auto/configuration/packed_documents_test.cc
@@ -1,5 +1,5 @@
 // Documents on their way between nodes.
-#include "configuration/packed_documents.h"
+#include "configuration/packed_document_cache.h"
 
 #include <catch2/catch.hpp>
 
@@ -46,21 +46,21 @@
   Head head;
   head.revision = 7;
   head.manifest = MakeManifest(texts);
-  HeldConfiguration held;
-  REQUIRE(held.Offer(head, MakeDocuments(texts)) == Adoption::kAdopted);
-  PackedDocuments packed;
-  const FetchAnswer answer = AnswerFetch({0}, held, packed);
+  LocalConfiguration local;
+  REQUIRE(local.Apply(head, MakeDocuments(texts)) == ApplyResult::kApplied);
+  PackedDocumentCache packed;
+  const FetchResponse answer = MakeFetchResponse({0}, local, packed);
   const std::string text = answer.ToJson();
   CHECK(text.size() < ManyRoutes().size() / 4);
-  const auto read = FetchAnswer::FromJson(text);
+  const auto read = FetchResponse::FromJson(text);
   REQUIRE(read);
-  HeldConfiguration other;
-  CHECK(other.Offer(*read->head, read->documents) == Adoption::kAdopted);
+  LocalConfiguration other;
+  CHECK(other.Apply(*read->head, read->documents) == ApplyResult::kApplied);
 
   SECTION("and packed once, whoever asks") {
-    AnswerFetch({0}, held, packed);
+    MakeFetchResponse({0}, local, packed);
     CHECK(packed.size() == 1);
-    packed.KeepOnly({});
+    packed.RetainOnly({});
     CHECK(packed.size() == 0);
   }
 }
--- a/tests/auto/configuration/repair_test.cc
+++ b/tests/auto/configuration/repair_test.cc
@@ -40,9 +40,9 @@
   }
   SECTION("of two heads of one revision the later stands, as the next") {
     const Head other = Confirm(two, "other", "t4");
-    for (const auto& [stored, held] :
+    for (const auto& [stored, local] :
          {std::pair(other, three), std::pair(three, other)}) {
-      const auto repaired = RepairStore(stored, held);
+      const auto repaired = RepairStore(stored, local);
       REQUIRE(repaired);
       CHECK(repaired->revision == 4);
       CHECK(repaired->manifest == other.manifest);
--- a/tests/auto/configuration/revision_lag_test.cc
+++ b/tests/auto/configuration/revision_lag_test.cc
@@ -15,14 +15,14 @@
 
   SECTION("not while it holds what it hears of") {
     lag.OnInForce(3, start);
-    lag.OnHeard(2, start);
-    lag.OnHeard(3, start);
+    lag.OnRevisionReported(2, start);
+    lag.OnRevisionReported(3, start);
     CHECK(lag.Behind(start + seconds(5)) == base::Duration::zero());
   }
   SECTION("from the first newer revision, however many follow") {
     lag.OnInForce(3, start);
-    lag.OnHeard(4, start + seconds(1));
-    lag.OnHeard(5, start + seconds(2));
+    lag.OnRevisionReported(4, start + seconds(1));
+    lag.OnRevisionReported(5, start + seconds(2));
     CHECK(lag.Behind(start + seconds(4)) == seconds(3));
 
     SECTION("until it holds the newest") {
--- a/tests/auto/duties/seed_search_test.cc
+++ b/tests/auto/duties/seed_search_test.cc
@@ -17,17 +17,17 @@
 
   SECTION("beside a running fleet one old listing is all, and at once") {
     CHECK(search.FirstWait(random) == Duration::zero());
-    CHECK(search.Next(true) == Listing::kMayBeOld);
-    CHECK(search.Next(false) == Listing::kMayBeOld);
+    CHECK(search.Next(true) == Listing::kMayBeStale);
+    CHECK(search.Next(false) == Listing::kMayBeStale);
   }
   SECTION("where it names nobody, or nobody who answers, one of now follows") {
-    CHECK(search.Next(true) == Listing::kMayBeOld);
+    CHECK(search.Next(true) == Listing::kMayBeStale);
     CHECK(search.WaitAfterNobody(random) <= kLongestWait / 5);
     CHECK(search.Next(true) == Listing::kLatest);
     CHECK(search.Next(true) == Listing::kLatest);
 
     SECTION("and an old one again once others are known") {
-      CHECK(search.Next(false) == Listing::kMayBeOld);
+      CHECK(search.Next(false) == Listing::kMayBeStale);
     }
   }
 }
--- a/tests/auto/evacuation/evacuation_forms_test.cc
+++ b/tests/auto/evacuation/evacuation_forms_test.cc
@@ -1,7 +1,7 @@
 // How evacuations are read from the store's entries.
 #include <catch2/catch.hpp>
 
-#include "evacuation_store/own_evacuation_form.h"
+#include "evacuation_store/native_evacuation_format.h"
 #include "platform/hosted_evacuation_form.h"
 
 namespace chestnutport::evacuation_store {
@@ -10,10 +10,10 @@
 using Entries = std::vector<store::StoreEntry>;
 
 TEST_CASE("the product's own form is one list") {
-  const OwnEvacuationForm form("fleet");
+  const NativeEvacuationFormat form("fleet");
   const std::string key = form.Prefix();
   CHECK(form.Read({}) == DataCentres());
-  const Entries written = {{key, OwnEvacuationForm::Write({"poa-b"}), 4}};
+  const Entries written = {{key, NativeEvacuationFormat::Write({"poa-b"}), 4}};
   CHECK(form.Read(written) == DataCentres{"poa-b"});
 
   SECTION("what is no list of names is not taken for the end of one") {
--- a/tests/auto/fleet_configuration/configuration_fetcher_test.cc
+++ b/tests/auto/fleet_configuration/configuration_fetcher_test.cc
@@ -6,7 +6,7 @@
 #include <optional>
 #include <vector>
 
-#include "configuration/packed_documents.h"
+#include "configuration/packed_document_cache.h"
 #include "control_calls/control_listener.h"
 #include "net/listening_socket.h"
 #include "support/relay.h"
@@ -16,7 +16,7 @@
 
 using configuration::Documents;
 using configuration::Head;
-using configuration::HeldConfiguration;
+using configuration::LocalConfiguration;
 using membership::Member;
 
 constexpr uint64_t kOld = 1;
@@ -48,20 +48,21 @@
     Take(revision);
     listener_.Add(configuration::kFetchMethod, [this](const auto& params) {
       const auto request = configuration::FetchRequest::FromJson(params);
-      return configuration::AnswerFetch(*request, held_, packed_).ToJson();
+      return configuration::MakeFetchResponse(*request, local_, packed_)
+          .ToJson();
     });
     REQUIRE(listener_.Listen(kAnyPort));
   }
 
   const base::SocketAddress& address() const { return listener_.address(); }
   void Take(uint64_t revision) {
-    held_.Offer(HeadOf(revision), DocumentsOf(revision));
+    local_.Apply(HeadOf(revision), DocumentsOf(revision));
   }
 
  private:
   control_calls::ControlListener listener_;
-  HeldConfiguration held_;
-  configuration::PackedDocuments packed_;
+  LocalConfiguration local_;
+  configuration::PackedDocumentCache packed_;
 };
 
 // One node that asks, beside neighbours that answer and some that accept
@@ -69,10 +70,10 @@
 class Scene {
  public:
   Scene() : caller_(loop_, kKeys) {
-    held_.Offer(HeadOf(kOld), DocumentsOf(kOld));
+    local_.Apply(HeadOf(kOld), DocumentsOf(kOld));
     self_.id = base::NodeId::Draw(random_);
     fetcher_ = std::make_unique<ConfigurationFetcher>(
-        loop_, caller_, held_, random_,
+        loop_, caller_, local_, random_,
         [this](base::NodeId, const Head& head, const Documents& documents) {
           return OnOffer(head, documents);
         });
@@ -110,12 +111,12 @@
     fetcher_->Start();
   }
   void Hear(uint64_t revision, const Member& from) {
-    fetcher_->OnRevisionHeard(revision, from);
+    fetcher_->OnRevisionReported(revision, from);
   }
   // Until the new revision is in force.
   void Run() { loop_.Run(); }
 
-  uint64_t held() const { return held_.head().revision; }
+  uint64_t local() const { return local_.head().revision; }
   // Questions that were open when the new revision came.
   std::optional<size_t> open_questions() const { return open_questions_; }
 
@@ -127,10 +128,10 @@
     members_.push_back(member);
     return member;
   }
-  configuration::Adoption OnOffer(const Head& head,
-                                  const Documents& documents) {
-    const auto adoption = held_.Offer(head, documents);
-    if (adoption == configuration::Adoption::kAdopted) {
+  configuration::ApplyResult OnOffer(const Head& head,
+                                     const Documents& documents) {
+    const auto adoption = local_.Apply(head, documents);
+    if (adoption == configuration::ApplyResult::kApplied) {
       // The one that brought it is done.
       open_questions_ = caller_.open_calls();
       loop_.Stop();
@@ -140,7 +141,7 @@
   net::EventLoop loop_;
   control_calls::ControlCaller caller_;
   base::Random random_{1};
-  HeldConfiguration held_;
+  LocalConfiguration local_;
   Member self_;
   std::vector<Member> members_;
   std::vector<net::ListeningSocket> silent_;
@@ -159,7 +160,7 @@
     scene.Hear(kNew, silent);
     scene.Hear(kNew, neighbour);
     scene.Run();
-    CHECK(scene.held() == kNew);
+    CHECK(scene.local() == kNew);
     CHECK(scene.open_questions().value_or(0) == 1);
   }
   SECTION("when it was asked before there was a new revision") {
@@ -167,7 +168,7 @@
     scene.Start();
     scene.Hear(kNew, scene.AddNeighbour(kNew));
     scene.Run();
-    CHECK(scene.held() == kNew);
+    CHECK(scene.local() == kNew);
     CHECK(scene.open_questions().value_or(0) == 1);
   }
   SECTION("when several are silent, and only one of those that told is left") {
@@ -177,7 +178,7 @@
       scene.Hear(kNew, member);
     scene.Hear(kNew, neighbour);
     scene.Run();
-    CHECK(scene.held() == kNew);
+    CHECK(scene.local() == kNew);
     CHECK(scene.open_questions().value_or(0) >= 1);
   }
 }
@@ -187,13 +188,13 @@
   const Member neighbour = scene.AddRelayedNeighbour(kNew);
   scene.Hear(kNew, neighbour);
   scene.Run();
-  REQUIRE(scene.held() == kNew);
+  REQUIRE(scene.local() == kNew);
 
   scene.SilenceOpenConnections();
   scene.TakeAtNeighbour(kNewer);
   scene.Hear(kNewer, neighbour);
   scene.RunUntilGivenUp();
-  CHECK(scene.held() == kNewer);
+  CHECK(scene.local() == kNewer);
 }
 
 }  // namespace
--- a/tests/auto/fleet_configuration/configuration_reader_test.cc
+++ b/tests/auto/fleet_configuration/configuration_reader_test.cc
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "absl/strings/escaping.h"
-#include "configuration/reader_ranks.h"
+#include "configuration/reader_selection.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "node/own_configuration_form.h"
@@ -22,7 +22,7 @@
 using membership::MemberState;
 
 // More than read the store.
-constexpr size_t kNodes = configuration::kSmallFleet + 4;
+constexpr size_t kNodes = configuration::kSmallFleetSize + 4;
 constexpr std::chrono::seconds kTimeout(2);
 
 // A store without any entry, which holds watches.
@@ -98,10 +98,10 @@
         client_(http_,
                 {store_.address()},
                 kTimeout,
-                store::AnyStoreForm::Of(platform::HostedStoreForm())),
+                store::AnyStoreProtocol::Of(platform::HostedStoreForm())),
         configuration_(
             client_,
-            AnyConfigurationForm::Of(node::OwnConfigurationForm("fleet")),
+            AnyConfigurationFormat::Of(node::OwnConfigurationForm("fleet")),
             "fleet"),
         reader_(
             loop_,
@@ -110,7 +110,7 @@
             random_,
             std::chrono::seconds(1),
             {.heard_at = [this] { return heard_at ? heard_at : loop_.now(); },
-             .tell_store_lost =
+             .report_store_lost =
                  [this](bool lost) { told_lost.push_back(lost); }},
             [](const auto&, const auto&) {}) {
     for (size_t i = 0; i < kNodes; ++i) {
@@ -157,7 +157,7 @@
   net::HttpClient http_;
   store::StoreClient client_;
   ConfigurationStore configuration_;
-  configuration::HeldConfiguration held_;
+  configuration::LocalConfiguration held_;
   base::Random random_{1};
   Member self_;
   ConfigurationReader reader_;
@@ -166,7 +166,7 @@
 TEST_CASE("a node that is no reader of its data centre") {
   Scene scene;
   scene.StartAs([&](const Member& member) {
-    return !configuration::ReaderRanks(scene.members).IsReader(member);
+    return !configuration::ReaderSelection(scene.members).IsReader(member);
   });
 
   SECTION("does not ask the store while it hears from others") {
@@ -199,7 +199,8 @@
 
   SECTION("are heard one by one by an alert reader") {
     scene.StartAs([&](const Member& member) {
-      return configuration::ReaderRanks(scene.members).IsAlertReader(member);
+      return configuration::ReaderSelection(scene.members)
+          .IsShortWatchReader(member);
     });
     REQUIRE(scene.HoldsWithin(std::chrono::seconds(30), has_watches(1)));
     const int before = scene.store().watches;
@@ -208,14 +209,15 @@
   }
   SECTION("cost other readers one watch a second, as they are told of them") {
     scene.StartAs([&](const Member& member) {
-      return configuration::ReaderRanks(scene.members).IsReader(member) &&
-             !configuration::ReaderRanks(scene.members).IsAlertReader(member);
+      return configuration::ReaderSelection(scene.members).IsReader(member) &&
+             !configuration::ReaderSelection(scene.members)
+                  .IsShortWatchReader(member);
     });
     REQUIRE(scene.HoldsWithin(std::chrono::seconds(30), has_watches(1)));
     const int reads = scene.store().reads;
     scene.store().Change();
     CHECK_FALSE(scene.HoldsWithin(kSoon, has_watches(2)));
-    CHECK(scene.HoldsWithin(configuration::kPauseAfterChange, has_watches(2)));
+    CHECK(scene.HoldsWithin(configuration::kDelayAfterChange, has_watches(2)));
     CHECK(scene.store().reads == reads);
   }
 }
@@ -224,12 +226,15 @@
   Scene scene;
   auto without_first = scene.members;
   for (Member& member : without_first) {
-    if (configuration::ReaderRanks(scene.members).IsAlertReader(member))
+    if (configuration::ReaderSelection(scene.members)
+            .IsShortWatchReader(member))
       member.state = MemberState::kSuspected;
   }
   scene.StartAs([&](const Member& member) {
-    return !configuration::ReaderRanks(scene.members).IsAlertReader(member) &&
-           configuration::ReaderRanks(without_first).IsAlertReader(member);
+    return !configuration::ReaderSelection(scene.members)
+                .IsShortWatchReader(member) &&
+           configuration::ReaderSelection(without_first)
+               .IsShortWatchReader(member);
   });
   REQUIRE(scene.HoldsWithin(std::chrono::seconds(30),
                             [&] { return scene.store().watches == 1; }));
@@ -238,9 +243,9 @@
   scene.SetMembers();
 
   SECTION("reads at once, and does not wait for its long watch to end") {
-    CHECK(scene.HoldsWithin(configuration::kShortestWatch,
+    CHECK(scene.HoldsWithin(configuration::kMinLongWatch,
                             [&] { return scene.store().reads > reads; }));
-    CHECK(scene.HoldsWithin(configuration::kShortestWatch,
+    CHECK(scene.HoldsWithin(configuration::kMinLongWatch,
                             [&] { return scene.store().watches > 1; }));
   }
 }
@@ -248,7 +253,8 @@
 TEST_CASE("a reader tells the others of its way to the store") {
   Scene scene;
   scene.StartAs([&](const Member& member) {
-    return configuration::ReaderRanks(scene.members).IsAlertReader(member);
+    return configuration::ReaderSelection(scene.members)
+        .IsShortWatchReader(member);
   });
   REQUIRE(scene.HoldsWithin(std::chrono::seconds(30),
                             [&] { return scene.store().watches > 0; }));
@@ -291,21 +297,23 @@
 TEST_CASE("a reader whose watch is long, as another one loses the store") {
   Scene scene;
   scene.StartAs([&](const Member& member) {
-    return configuration::ReaderRanks(scene.members).IsReader(member) &&
-           !configuration::ReaderRanks(scene.members).IsAlertReader(member);
+    return configuration::ReaderSelection(scene.members).IsReader(member) &&
+           !configuration::ReaderSelection(scene.members)
+                .IsShortWatchReader(member);
   });
   REQUIRE(scene.HoldsWithin(std::chrono::seconds(30),
                             [&] { return scene.store().watches == 1; }));
   const int reads = scene.store().reads;
   const auto alert =
       std::ranges::find_if(scene.members, [&](const Member& member) {
-        return configuration::ReaderRanks(scene.members).IsAlertReader(member);
+        return configuration::ReaderSelection(scene.members)
+            .IsShortWatchReader(member);
       });
   alert->has_lost_store = true;
   scene.SetMembers();
 
   SECTION("reads at once, and finds out whether it is cut off as well") {
-    CHECK(scene.HoldsWithin(configuration::kShortestWatch,
+    CHECK(scene.HoldsWithin(configuration::kMinLongWatch,
                             [&] { return scene.store().reads > reads; }));
   }
 }
--- a/tests/auto/input/mutated_input_test.cc
+++ b/tests/auto/input/mutated_input_test.cc
@@ -17,7 +17,7 @@
 #include "platform/hosted_store_form.h"
 #include "rpc/call_codec.h"
 #include "settings/node_settings.h"
-#include "store/etcd_form.h"
+#include "store/etcd_protocol.h"
 #include "support/mutated_text.h"
 #include "wire/header_names.h"
 #include "wire/load_report.h"
@@ -43,12 +43,12 @@
 
 template <typename Form>
 void ReadAllOf(const Form& form, const net::HttpAnswer& answer) {
-  (void)form.ReadPage(answer);
-  (void)form.ReadEntry(answer);
-  (void)form.ReadSwapped(answer);
-  (void)form.ReadGranted(answer);
-  (void)form.ReadKept(answer);
-  (void)form.ReadNews(answer);
+  (void)form.ParsePage(answer);
+  (void)form.ParseEntry(answer);
+  (void)form.ParseSwap(answer);
+  (void)form.ParseGrant(answer);
+  (void)form.ParseKeepAlive(answer);
+  (void)form.ParseChanges(answer);
 }
 
 TEST_CASE("answers of the store") {
@@ -70,7 +70,7 @@
          R"({"succeeded":true,"header":{"revision":"9"}})",
          R"({"ID":"7","TTL":"3"})", R"({"result":{"ID":"7","TTL":"3"}})"});
     const int status = *rc::gen::element(200, 400, 429, 503, 0);
-    ReadAllOf(store::EtcdForm(), {.status = status, .body = body});
+    ReadAllOf(store::EtcdProtocol(), {.status = status, .body = body});
   });
 }
 
@@ -98,11 +98,11 @@
     configuration::Head head;
     head.revision = 3;
     head.manifest = {{"dossie", "0123456789abcdef"}};
-    configuration::FetchAnswer answer{.revision = 3, .head = head};
+    configuration::FetchResponse answer{.revision = 3, .head = head};
     const std::string text =
         *MutatedText({answer.ToJson(), head.ToJson(),
                       configuration::FetchRequest{.have = 2}.ToJson()});
-    (void)configuration::FetchAnswer::FromJson(text);
+    (void)configuration::FetchResponse::FromJson(text);
     (void)configuration::FetchRequest::FromJson(text);
     (void)configuration::Head::FromJson(text);
   });
--- a/tests/auto/platform/hosted_caller_protocol_test.cc
+++ b/tests/auto/platform/hosted_caller_protocol_test.cc
@@ -19,7 +19,7 @@
   route.timeout = std::chrono::seconds(1);
   route.target_latency = std::chrono::milliseconds(400);
   route.urgency = 2;
-  route.most_servers = 2;
+  route.max_servers = 2;
   route.targets = {{"dossie", 1}};
   configuration.routes = declarations::RouteTable({route});
   return configuration;
@@ -45,7 +45,7 @@
   CHECK(read.value().name == "r1");
   CHECK(read.value().is_repeatable);
   CHECK(read.value().remaining == std::chrono::milliseconds(700));
-  CHECK(read.value().most_servers == 2);
+  CHECK(read.value().max_servers == 2);
   CHECK(read.value().traffic_class == "urgency-2");
 
   SECTION("and bears nobody else's word") {
--- a/tests/auto/platform/hosted_configuration_form_test.cc
+++ b/tests/auto/platform/hosted_configuration_form_test.cc
@@ -80,7 +80,7 @@
     CHECK_FALSE(route->is_repeatable);
     CHECK(route->timeout == std::chrono::milliseconds(1200));
     CHECK(route->target_latency == std::chrono::milliseconds(400));
-    CHECK(route->most_servers == 2);
+    CHECK(route->max_servers == 2);
     CHECK(route->urgency == 1);
   }
   SECTION("and a split gives each service its weight") {
@@ -88,7 +88,7 @@
     std::map<std::string, int> drawn;
     for (int i = 0; i < 10000; ++i)
       ++drawn[configuration.routes.Match("a.example", "/p/long/")
-                  ->Draw(random)];
+                  ->PickService(random)];
     CHECK(drawn["two"] > 800);
     CHECK(drawn["two"] < 1200);
     CHECK(drawn["one"] + drawn["two"] == 10000);
@@ -99,7 +99,7 @@
   const auto configuration = Parse(kDocument);
   REQUIRE(configuration.FindService("one"));
   CHECK(configuration.FindService("one")->health_path == "/healthz");
-  CHECK(configuration.FindService("one")->most_connections == 260);
+  CHECK(configuration.FindService("one")->max_connections == 260);
   CHECK_FALSE(configuration.FindService("three"));
   CHECK(configuration.limits.largest_body == 1000);
   CHECK(configuration.limits.idle == std::chrono::seconds(15));
@@ -111,8 +111,8 @@
             R"("rows":[["h","x"],["i"],"no row"]},"services":7,"limits":[]})");
   REQUIRE(configuration.routes.size() == 2);
   REQUIRE(configuration.routes.Match("h", "/"));
-  CHECK(configuration.routes.Match("h", "/")->most_servers == 1);
-  CHECK(configuration.routes.Match("i", "/")->most_servers == 1);
+  CHECK(configuration.routes.Match("h", "/")->max_servers == 1);
+  CHECK(configuration.routes.Match("i", "/")->max_servers == 1);
   CHECK(configuration.services.empty());
 }
 
--- a/tests/auto/platform/hosted_store_form_test.cc
+++ b/tests/auto/platform/hosted_store_form_test.cc
@@ -26,7 +26,7 @@
   CHECK(form.Read("a b/c&d").target == "/chestnutport/kv-key?key=a%20b/c%26d");
 
   SECTION("that is there") {
-    const auto page = form.ReadEntry(Answer(200, kItem));
+    const auto page = form.ParseEntry(Answer(200, kItem));
     REQUIRE(page);
     REQUIRE(page.value().entries.size() == 1);
     CHECK(page.value().entries[0].value == "hello");
@@ -34,7 +34,7 @@
     CHECK(page.value().as_of == 530);
   }
   SECTION("that is not there: no entry, and no error") {
-    const auto page = form.ReadEntry(Answer(404, {{"asOf", 7}}));
+    const auto page = form.ParseEntry(Answer(404, {{"asOf", 7}}));
     REQUIRE(page);
     CHECK(page.value().entries.empty());
     CHECK(page.value().as_of == 7);
@@ -44,7 +44,7 @@
         GENERATE(Answer(503, json::object()), Answer(429, json::object()),
                  Answer(200, json::array()), Answer(200, {{"key", 7}}),
                  Answer(200, {{"key", "k"}, {"value", "no base64!"}}));
-    CHECK_FALSE(form.ReadEntry(answer));
+    CHECK_FALSE(form.ParseEntry(answer));
   }
 }
 
@@ -54,14 +54,14 @@
         "/chestnutport/kv-range?prefix=a/");
   CHECK(form.List("a/", "a/x", store::Freshness::kLatest).target ==
         "/chestnutport/kv-range?prefix=a/&after=a/x");
-  CHECK(form.List("a/", "", store::Freshness::kMayBeOld).target ==
+  CHECK(form.List("a/", "", store::Freshness::kMayBeStale).target ==
         "/chestnutport/kv-range?prefix=a/&staleOk=1");
-  const auto page = form.ReadPage(
+  const auto page = form.ParsePage(
       Answer(200, {{"items", {kItem}}, {"hasMore", true}, {"asOf", 9}}));
   REQUIRE(page);
   CHECK(page.value().has_more);
   CHECK(page.value().entries.size() == 1);
-  CHECK_FALSE(form.ReadPage(Answer(200, {{"items", 7}})));
+  CHECK_FALSE(form.ParsePage(Answer(200, {{"items", 7}})));
 }
 
 TEST_CASE("what another writer spoilt leaves the other entries of a list") {
@@ -70,8 +70,8 @@
       GENERATE(json{{"key", "a/2"}, {"value", "no base64!"}, {"revision", 6}},
                json{{"key", "a/2"}, {"value", 7}, {"revision", 6}},
                json{{"key", "a/2"}, {"value", nullptr}, {"revision", 6}});
-  const auto page =
-      form.ReadPage(Answer(200, {{"items", {kItem, spoilt, 7, {{"key", 7}}}}}));
+  const auto page = form.ParsePage(
+      Answer(200, {{"items", {kItem, spoilt, 7, {{"key", 7}}}}}));
   REQUIRE(page);
   REQUIRE(page.value().entries.size() == 2);
   CHECK(page.value().entries[0].value == "hello");
@@ -91,12 +91,11 @@
   CHECK(body["expected"][0]["revision"] == 3);
   CHECK(body["puts"][0]["value"] == "dg==");
   CHECK(body["puts"][0]["lease"] == 77);
-  CHECK(form.ReadSwapped(Answer(200, {{"revision", 4}})).value());
-  CHECK_FALSE(
-      form.ReadSwapped(Answer(412, {{"items", json::array()}})).value());
-  CHECK(base::KindOf(form.ReadSwapped(Answer(503, {})).error()) ==
+  CHECK(form.ParseSwap(Answer(200, {{"revision", 4}})).value());
+  CHECK_FALSE(form.ParseSwap(Answer(412, {{"items", json::array()}})).value());
+  CHECK(base::KindOf(form.ParseSwap(Answer(503, {})).error()) ==
         ErrorKind::kStoreUnavailable);
-  CHECK(base::KindOf(form.ReadSwapped(Answer(500, {})).error()) ==
+  CHECK(base::KindOf(form.ParseSwap(Answer(500, {})).error()) ==
         ErrorKind::kStoreOutcomeUnknown);
 }
 
@@ -104,11 +103,11 @@
   const HostedStoreForm form;
   const auto grant = form.Grant(std::chrono::seconds(3));
   CHECK(json::parse(grant.body)["ttl_time"] == "3000ms");
-  CHECK(form.ReadGranted(Answer(200, {{"lease", 77120}})).value() == 77120);
-  CHECK_FALSE(form.ReadGranted(Answer(200, json::object())));
+  CHECK(form.ParseGrant(Answer(200, {{"lease", 77120}})).value() == 77120);
+  CHECK_FALSE(form.ParseGrant(Answer(200, json::object())));
   CHECK(form.KeepAlive(77120).target == "/chestnutport/kv-keep/77120");
-  CHECK(form.ReadKept(Answer(200, json::object())).value());
-  CHECK_FALSE(form.ReadKept(Answer(404, json::object())).value());
+  CHECK(form.ParseKeepAlive(Answer(200, json::object())).value());
+  CHECK_FALSE(form.ParseKeepAlive(Answer(404, json::object())).value());
 }
 
 TEST_CASE("a watch brings what changed") {
@@ -117,20 +116,21 @@
         "/chestnutport/kv-watch?prefix=op/&after=411&waitMs=5000");
 
   SECTION("changes, but not what is gone") {
-    const auto news = form.ReadNews(Answer(
+    const auto news = form.ParseChanges(Answer(
         200, {{"events",
                {kItem, {{"key", "x"}, {"revision", 413}, {"deleted", true}}}},
               {"asOf", 413}}));
     REQUIRE(news);
     CHECK(news.value().changed.size() == 1);
     CHECK(news.value().as_of == 413);
-    CHECK_FALSE(news.value().history_lost);
+    CHECK_FALSE(news.value().changes_missed);
   }
   SECTION("or that changes were missed") {
-    CHECK(form.ReadNews(Answer(410, json::object())).value().history_lost);
+    CHECK(
+        form.ParseChanges(Answer(410, json::object())).value().changes_missed);
   }
   SECTION("or nothing, from a store that does not know what it says") {
-    CHECK_FALSE(form.ReadNews(Answer(200, {{"events", 1}})));
+    CHECK_FALSE(form.ParseChanges(Answer(200, {{"events", 1}})));
   }
 }
 
--- a/tests/auto/platform/lost_store_test.cc
+++ b/tests/auto/platform/lost_store_test.cc
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "configuration/reader_ranks.h"
+#include "configuration/reader_selection.h"
 #include "support/hosted_node.h"
 #include "support/hosted_platform.h"
 #include "support/relay.h"
@@ -108,7 +108,7 @@
     }
   }
   SECTION("of more nodes than read it, one that did not") {
-    Scene scene(configuration::kSmallFleet + 4);
+    Scene scene(configuration::kSmallFleetSize + 4);
     REQUIRE(scene.WaitUntilAllKnowAll());
     REQUIRE(scene.ChangeReachesAll());
     const auto spare = scene.FirstWithoutDuty();
--- a/tests/benchmarks/configuration/counted_figures.cc
+++ b/tests/benchmarks/configuration/counted_figures.cc
@@ -5,16 +5,16 @@
 #include "base/random.h"
 #include "configuration/fetch.h"
 #include "configuration/figures.h"
-#include "configuration/held_configuration.h"
-#include "configuration/read_pace.h"
-#include "configuration/reader_ranks.h"
+#include "configuration/local_configuration.h"
+#include "configuration/read_timing.h"
+#include "configuration/reader_selection.h"
 
 namespace chestnutport::bench {
 namespace {
 
 using configuration::Documents;
 using configuration::Head;
-using configuration::HeldConfiguration;
+using configuration::LocalConfiguration;
 using declarations::DeclarationTexts;
 using membership::Member;
 
@@ -39,7 +39,7 @@
 
 // A fleet's configuration after many confirmations of one service each, and
 // a last one of `changed` services.
-HeldConfiguration Held(int changed) {
+LocalConfiguration Held(int changed) {
   Head head;
   DeclarationTexts texts;
   for (int round = 0; round < 60; ++round) {
@@ -53,17 +53,18 @@
   texts = Texts(changed, 1000);
   head =
       NextHead(head, configuration::MakeManifest(texts), {.plan_id = "last"});
-  HeldConfiguration held;
-  held.Offer(head, configuration::MakeDocuments(texts));
-  return held;
+  LocalConfiguration local;
+  local.Apply(head, configuration::MakeDocuments(texts));
+  return local;
 }
 
 void AddBytes(FigureReport& report) {
-  configuration::PackedDocuments packed;
+  configuration::PackedDocumentCache packed;
   for (const int changed : {1, 10, kServices}) {
-    const HeldConfiguration held = Held(changed);
-    const uint64_t before = held.head().revision - 1;
-    const size_t bytes = AnswerFetch({before}, held, packed).ToJson().size();
+    const LocalConfiguration local = Held(changed);
+    const uint64_t before = local.head().revision - 1;
+    const size_t bytes =
+        MakeFetchResponse({before}, local, packed).ToJson().size();
     const double documents = changed * static_cast<double>(kDocumentBytes);
     report.Add({.name = absl::StrCat("configuration/fetch/", changed,
                                      "-of-200-changed"),
@@ -71,15 +72,16 @@
                 .unit = "B",
                 .at_most = 40000 + 1.1 * documents});
   }
-  const HeldConfiguration held = Held(1);
-  report.Add(
-      {.name = "configuration/fetch/nothing-new",
-       .value = static_cast<double>(
-           AnswerFetch({held.head().revision}, held, packed).ToJson().size()),
-       .unit = "B",
-       .at_most = 100});
+  const LocalConfiguration local = Held(1);
+  report.Add({.name = "configuration/fetch/nothing-new",
+              .value = static_cast<double>(
+                  MakeFetchResponse({local.head().revision}, local, packed)
+                      .ToJson()
+                      .size()),
+              .unit = "B",
+              .at_most = 100});
   report.Add({.name = "configuration/head",
-              .value = static_cast<double>(held.head().ToJson().size()),
+              .value = static_cast<double>(local.head().ToJson().size()),
               .unit = "B",
               .at_most = 40000});
 }
@@ -87,18 +89,18 @@
 size_t CountReaders(const std::vector<Member>& members) {
   size_t readers = 0;
   for (const Member& member : members)
-    readers += configuration::ReaderRanks(members).IsReader(member);
+    readers += configuration::ReaderSelection(members).IsReader(member);
   return readers;
 }
 
 // Readings a second of one node, once its pace has settled; `failing`: nodes
 // whose readings fail, this one among them.
 double ReadingsPerSecond(size_t failing, bool alone, base::Random& random) {
-  configuration::ReadPace pace;
+  configuration::ReadTiming pace;
   base::Duration at{};
   int readings = 0;
   for (; at < kObserved; ++readings)
-    at += pace.Next(failing > 0, alone, failing, random);
+    at += pace.NextReadDelay(failing > 0, alone, failing, random);
   return readings / std::chrono::duration<double>(kObserved).count();
 }
 
