--- a/src/libs/configuration/change.cc
+++ b/src/libs/configuration/change.cc
@@ -46,7 +46,8 @@
   return changes;
 }
 
-// The changes of `service` from the document `before` to `after`, by hash.
+// Compares the documents of `service` with the hashes `before` and `after`. An
+// empty hash means that the service does not exist.
 std::vector<Change> CompareHashes(const std::string& service,
                                   const std::string& before,
                                   const std::string& after,
--- a/src/libs/configuration/change.h
+++ b/src/libs/configuration/change.h
@@ -1,4 +1,4 @@
-// One difference between two configurations.
+// Differences between two configurations, per key.
 #ifndef CONFIGURATION_CHANGE_H_
 #define CONFIGURATION_CHANGE_H_
 
@@ -19,13 +19,13 @@
 struct Change {
   ChangeKind kind = ChangeKind::kChanged;
   std::string service;
-  std::string section;  // Empty: the service as a whole.
+  std::string section;  // Empty if the whole service is concerned.
   std::string key;
   std::string before;
   std::string after;
 };
 
-// A change that was confirmed.
+// A change and the confirmation that made it.
 struct ConfirmedChange {
   Change change;
   uint64_t revision = 0;
@@ -33,14 +33,15 @@
   std::string confirmed_at;
 };
 
-// The differences between two texts of one service, key by key. A null text
-// means that there is no such service.
+// Returns the differences between two declarations of one service, per key. A
+// null text means that the service does not exist.
 std::vector<Change> CompareTexts(const std::string& service,
                                  const std::string* before,
                                  const std::string* after);
 
-// What was confirmed after `revision`, as far as the history reaches. Keys are
-// named where `documents` has both texts, else the service as a whole.
+// Returns the changes confirmed after `revision`, as far back as the history
+// reaches, in the order of their revisions. Changes are listed per key if
+// `documents` holds both texts; otherwise one change stands for the service.
 std::vector<ConfirmedChange> ChangesSince(const Head& head,
                                           const Documents& documents,
                                           uint64_t revision);
--- a/src/libs/configuration/confirm_procedure.cc
+++ b/src/libs/configuration/confirm_procedure.cc
@@ -6,8 +6,8 @@
 namespace chestnutport::configuration {
 namespace {
 
-constexpr base::Duration kFirstPause = std::chrono::milliseconds(50);
-constexpr base::Duration kLongestPause = std::chrono::seconds(1);
+constexpr base::Duration kInitialBackoff = std::chrono::milliseconds(50);
+constexpr base::Duration kMaxBackoff = std::chrono::seconds(1);
 constexpr int64_t kNone = -1;
 
 }  // namespace
@@ -16,7 +16,7 @@
                                    base::Instant deadline)
     : request_(std::move(request)),
       deadline_(deadline),
-      backoff_(kFirstPause) {}
+      backoff_(kInitialBackoff) {}
 
 ConfirmStep ConfirmProcedure::Start() {
   return ReadHead{};
@@ -34,7 +34,7 @@
   if (!entry)
     entry = local.FindPlan(request_.plan_id);
   if (entry) {
-    // It is this run's own doing if this run swapped at all.
+    // Confirmed by this procedure only if it has sent a swap.
     const bool own = swap_.head.revision != 0 &&
                      entry->confirmed_at == request_.confirmed_at &&
                      entry->confirmed_by == request_.confirmed_by;
@@ -42,7 +42,8 @@
         own ? ConfirmOutcome::kConfirmed : ConfirmOutcome::kAlreadyConfirmed,
         entry->revision);
   }
-  // A lower revision of the store is an old reading, and says nothing.
+  // The swap can no longer take effect once the revision has increased. A lower
+  // revision is a stale read, which proves nothing.
   if (unresolved_swap_revision_ != kNone &&
       stored.value().store_revision > unresolved_swap_revision_)
     unresolved_swap_revision_ = kNone;
@@ -51,7 +52,7 @@
       return swap_;
     return RetryOrGiveUp(now);
   }
-  // This node is behind: what it would answer now could be wrong soon.
+  // This node lacks a newer revision, against which the plan has to be checked.
   if (std::max(greatest_reported, request_.base_revision) >
       newest_head_.revision)
     return RetryOrGiveUp(now);
@@ -92,8 +93,9 @@
     newest_head_ = swap_.head;
     return Finished(ConfirmOutcome::kConfirmed, swap_.head.revision);
   }
-  // A plain no may be the answer to the second of two arrivals, of which the
-  // first took effect: only a reading tells.
+  // If the request was delivered twice, a failed comparison may be the response
+  // to the second delivery after the first took effect. Only a read resolves
+  // this.
   const bool never_sent = !swapped && base::KindOf(swapped.error()) ==
                                           base::ErrorKind::kStoreUnavailable;
   if (!never_sent)
@@ -108,9 +110,9 @@
 ConfirmStep ConfirmProcedure::RetryOrGiveUp(base::Instant now) {
   if (now >= deadline_)
     return GiveUp();
-  const Backoff pause{backoff_};
-  backoff_ = std::min(2 * backoff_, kLongestPause);
-  return pause;
+  const Backoff step{backoff_};
+  backoff_ = std::min(2 * backoff_, kMaxBackoff);
+  return step;
 }
 
 ConfirmStep ConfirmProcedure::GiveUp() const {
--- a/src/libs/configuration/confirm_procedure.h
+++ b/src/libs/configuration/confirm_procedure.h
@@ -1,5 +1,5 @@
-// The steps of one confirmation against a store that may be down or slow, lose
-// answers, or answer with what was true a while ago.
+// State machine of one confirmation. The store may be unavailable or slow, its
+// responses may be lost, and reads may be stale.
 #ifndef CONFIGURATION_CONFIRM_PROCEDURE_H_
 #define CONFIGURATION_CONFIRM_PROCEDURE_H_
 
@@ -14,7 +14,7 @@
 
 namespace chestnutport::configuration {
 
-// What an operator asked to confirm.
+// A plan that an operator confirms.
 struct ConfirmRequest {
   uint64_t base_revision = 0;
   std::string plan_id;
@@ -26,19 +26,20 @@
 // The head as read from the store.
 struct StoredHead {
   Head head;
-  int64_t store_revision = 0;  // Zero: there is none.
-  int64_t as_of = 0;           // The store's own revision then, if it says so.
+  int64_t store_revision = 0;  // Zero if the store has no head.
+  int64_t as_of = 0;  // The store's revision at the read; zero if unknown.
 };
 
 enum class ConfirmOutcome {
   kConfirmed,
   kAlreadyConfirmed,
-  kStale,        // Another configuration is in force; nothing was changed.
-  kUnavailable,  // The store did not answer; nothing was changed.
-  kUnknown,      // The store may have taken the change.
+  kStale,        // The plan has an outdated base; nothing was changed.
+  kUnavailable,  // The store was unavailable; nothing was changed.
+  kUnknown,      // The write may have taken effect.
 };
 
-// What to do next. Each but the last is answered by the function of its name.
+// The action to take next. The result of each but Finish is passed to the
+// corresponding On...() function.
 struct ReadHead {};
 struct WriteDocuments {
   Documents documents;
@@ -52,24 +53,25 @@
 };
 struct Finish {
   ConfirmOutcome outcome = ConfirmOutcome::kUnknown;
-  uint64_t revision = 0;  // Of the confirmation, if it was confirmed.
-  Head head;              // The newest that was seen.
+  uint64_t revision = 0;  // Of the confirmation; zero if not confirmed.
+  Head head;              // The newest head seen.
 };
 using ConfirmStep =
     std::variant<ReadHead, WriteDocuments, SwapHead, Backoff, Finish>;
 
-// A confirmation whose answer was lost is told apart by sending the same
-// compare-and-swap again: it can take effect once only, because it changes the
-// revision that it compares; and once the store shows a later revision, it
-// never will.
+// If the response to the compare-and-swap is lost, its outcome is resolved by
+// reading the head and, if that is unchanged, by sending the same
+// compare-and-swap again. This is safe: the swap takes effect at most once,
+// because it changes the store revision that it compares, and it can no longer
+// take effect once the store shows a later revision.
 class ConfirmProcedure {
  public:
-  // Gives up at `deadline`, with the truth as far as it is known.
+  // Stops retrying at `deadline` and finishes with the outcome known by then.
   ConfirmProcedure(ConfirmRequest request, base::Instant deadline);
 
   ConfirmStep Start();
-  // `held` is what this node holds; `heard` the greatest revision that any
-  // node was heard to hold.
+  // `local` is the head that this node holds, `greatest_reported` the greatest
+  // revision reported by any other node.
   ConfirmStep OnHead(base::Instant now,
                      const base::Result<StoredHead>& stored,
                      const Head& local,
@@ -89,10 +91,11 @@
   ConfirmRequest request_;
   base::Instant deadline_;
   base::Duration backoff_;
-  Head newest_head_;  // Of the store and of this node.
+  Head newest_head_;  // Of the heads in the store and on this node.
   SwapHead swap_;
   bool documents_written_ = false;
-  // The store's revision that a swap with a lost answer compared; -1: none.
+  // The store revision compared by a swap of unknown outcome; -1 if there is no
+  // such swap.
   int64_t unresolved_swap_revision_ = -1;
 };
 
--- a/src/libs/configuration/current_watch.h
+++ b/src/libs/configuration/current_watch.h
@@ -1,4 +1,4 @@
-// Which of a reader's watches of the store is heard.
+// Identifies the current one of a reader's watches of the store.
 #ifndef CONFIGURATION_CURRENT_WATCH_H_
 #define CONFIGURATION_CURRENT_WATCH_H_
 
@@ -7,19 +7,20 @@
 
 namespace chestnutport::configuration {
 
-// A watch that was given up still ends some time, and is not heard then.
+// An abandoned watch still completes at some time; its result is then ignored.
 class CurrentWatch {
  public:
-  // A watch begins in place of any other. Returns its number.
+  // Starts a watch in place of any other. Returns its number.
   uint64_t Begin() {
     is_open_ = true;
     return ++last_;
   }
-  // That watch has ended. Returns whether it is the one that is heard.
+  // Called when watch `number` has ended. Returns whether it was the current
+  // one.
   bool End(uint64_t number) {
     return number == last_ && std::exchange(is_open_, false);
   }
-  // Returns whether there was a watch to be given up.
+  // Returns whether there was a current watch.
   bool Abandon() { return std::exchange(is_open_, false); }
 
  private:
--- a/src/libs/configuration/documents.cc
+++ b/src/libs/configuration/documents.cc
@@ -9,7 +9,7 @@
 namespace chestnutport::configuration {
 namespace {
 
-// Hexadecimal digits: 160 bits tell every document ever written apart.
+// Hexadecimal digits: 160 bits, which makes collisions negligible.
 constexpr size_t kHashLength = 40;
 
 }  // namespace
--- a/src/libs/configuration/documents.h
+++ b/src/libs/configuration/documents.h
@@ -1,4 +1,4 @@
-// Documents of declarations under the hash of their content.
+// Declarations as immutable documents, addressed by the hash of their content.
 #ifndef CONFIGURATION_DOCUMENTS_H_
 #define CONFIGURATION_DOCUMENTS_H_
 
@@ -13,7 +13,7 @@
 
 namespace chestnutport::configuration {
 
-// Texts by their hash.
+// Maps hashes to texts.
 using Documents = std::map<std::string, std::string, std::less<>>;
 
 std::string DocumentHash(std::string_view text);
@@ -21,16 +21,17 @@
 Manifest MakeManifest(const declarations::DeclarationTexts& texts);
 Documents MakeDocuments(const declarations::DeclarationTexts& texts);
 
-// The hashes in `manifest` that `documents` lacks, each once.
+// Returns the hashes in `manifest` that are missing in `documents`, without
+// duplicates.
 std::vector<std::string> MissingDocuments(const Manifest& manifest,
                                           const Documents& documents);
 
-// The texts by service; nothing if a document is missing.
+// Returns the declarations by service, or nothing if a document is missing.
 std::optional<declarations::DeclarationTexts> Assemble(
     const Manifest& manifest,
     const Documents& documents);
 
-// The key of a document in the store.
+// Returns the key of a document in the store.
 std::string DocumentKey(std::string_view fleet, std::string_view hash);
 
 }  // namespace chestnutport::configuration
--- a/src/libs/configuration/fetch.cc
+++ b/src/libs/configuration/fetch.cc
@@ -27,7 +27,8 @@
 std::string FetchResponse::ToJson() const {
   json object = {{"revision", revision}};
   if (head) {
-    // As text, so that whatever a newer version wrote into it arrives as is.
+    // Embedded as a string, so that fields added by a newer version arrive
+    // unchanged.
     object["head"] = head->ToJson();
     object["packed"] = packed;
   }
@@ -39,21 +40,21 @@
   if (!object.is_object())
     return std::nullopt;
   try {
-    FetchResponse answer;
-    answer.revision = object.at("revision").get<uint64_t>();
+    FetchResponse response;
+    response.revision = object.at("revision").get<uint64_t>();
     if (!object.contains("head"))
-      return answer;
-    answer.head = Head::FromJson(object.at("head").get<std::string>());
-    if (!answer.head)
+      return response;
+    response.head = Head::FromJson(object.at("head").get<std::string>());
+    if (!response.head)
       return std::nullopt;
-    answer.packed = object.at("packed").get<decltype(answer.packed)>();
-    for (const auto& [hash, text] : answer.packed) {
+    response.packed = object.at("packed").get<decltype(response.packed)>();
+    for (const auto& [hash, text] : response.packed) {
       auto document = UnpackDocument(text);
       if (!document)
         return std::nullopt;
-      answer.documents[hash] = *std::move(document);
+      response.documents[hash] = *std::move(document);
     }
-    return answer;
+    return response;
   } catch (const json::exception&) {
     return std::nullopt;
   }
@@ -62,21 +63,21 @@
 FetchResponse MakeFetchResponse(const FetchRequest& request,
                                 const LocalConfiguration& local,
                                 PackedDocumentCache& packed) {
-  FetchResponse answer{local.head().revision, std::nullopt, {}, {}};
+  FetchResponse response{local.head().revision, std::nullopt, {}, {}};
   if (local.head().revision <= request.have)
-    return answer;
-  answer.head = local.head();
+    return response;
+  response.head = local.head();
   Manifest known;
   if (request.have != 0)
     known = ManifestAt(local.head(), request.have).value_or(Manifest{});
   for (const auto& [service, hash] : local.head().manifest) {
     const auto before = known.find(service);
     if (before == known.end() || before->second != hash)
-      answer.packed[hash] =
+      response.packed[hash] =
           packed.Pack(hash, local.documents().find(hash)->second);
   }
   packed.RetainOnly(local.documents());
-  return answer;
+  return response;
 }
 
 }  // namespace chestnutport::configuration
--- a/src/libs/configuration/fetch.h
+++ b/src/libs/configuration/fetch.h
@@ -1,5 +1,5 @@
-// The messages by which a node gets its configuration from another:
-// the control call configuration.fetch.
+// Messages of the control call configuration.fetch, by which a node gets a
+// newer configuration from a peer.
 #ifndef CONFIGURATION_FETCH_H_
 #define CONFIGURATION_FETCH_H_
 
@@ -19,19 +19,20 @@
 inline constexpr char kFetchMethod[] = "configuration.fetch";
 
 struct FetchRequest {
-  uint64_t have = 0;  // The revision that the asker holds; zero: send all.
+  // The revision that the requesting node holds; zero requests all documents.
+  uint64_t have = 0;
 
   std::string ToJson() const;
   static std::optional<FetchRequest> FromJson(std::string_view text);
 };
 
 struct FetchResponse {
-  uint64_t revision = 0;  // What the answerer holds.
-  // Only if it is newer than what the asker holds: the head, and the documents
-  // that the asker lacks.
+  uint64_t revision = 0;  // Held by the responding node.
+  // The head, and in `packed` the documents that the requesting node lacks. Set
+  // only if `revision` is newer than the one in the request.
   std::optional<Head> head;
   std::map<std::string, std::string, std::less<>> packed;  // By hash.
-  Documents documents;  // Unpacked, once it was read.
+  Documents documents;  // Unpacked from `packed` by FromJson().
 
   std::string ToJson() const;
   static std::optional<FetchResponse> FromJson(std::string_view text);
--- a/src/libs/configuration/fetch_scheduler.cc
+++ b/src/libs/configuration/fetch_scheduler.cc
@@ -31,7 +31,7 @@
 void FetchScheduler::OnRevisionReported(uint64_t revision, const Member& from) {
   uint64_t& known = reported_[from.id];
   known = std::max(known, revision);
-  // The rumour may come before the list of members that names the node.
+  // The announcement may arrive before the member list contains the peer.
   const bool is_known = std::ranges::any_of(
       peers_, [&](const Member& other) { return other.id == from.id; });
   if (!is_known)
@@ -56,7 +56,7 @@
         return HasReportedAbove(local_revision, other);
       },
       random);
-  // Others have it soon after the first that told of it.
+  // Other peers usually hold the revision soon after the first one reports it.
   if (!member)
     member = Pick(IsAny, random);
   if (member)
@@ -95,7 +95,7 @@
                                 base::Instant now) {
   const auto fetch = pending_.extract(from);
   uint64_t& known = reported_[from];
-  // It may have told of a newer one since it was asked.
+  // A revision reported after the fetch began is newer than the response.
   if (fetch.empty() || fetch.mapped().expected_revision < known)
     known = std::max(known, revision);
   else
--- a/src/libs/configuration/fetch_scheduler.h
+++ b/src/libs/configuration/fetch_scheduler.h
@@ -1,4 +1,4 @@
-// Which other nodes are asked for a newer configuration, and when.
+// Selects the peers from which a newer configuration is fetched, and when.
 #ifndef CONFIGURATION_FETCH_SCHEDULER_H_
 #define CONFIGURATION_FETCH_SCHEDULER_H_
 
@@ -13,71 +13,80 @@
 
 namespace chestnutport::configuration {
 
-// Asks one node that was heard to hold a newer revision. While it is silent,
-// others are asked beside it: a node that froze or was cut off must not keep
-// back what others hold.
+// Starts with one peer that reported a newer revision. While it does not
+// respond, further peers are tried in parallel (hedging), so that a peer that
+// hangs or is unreachable does not delay a revision that others hold.
 class FetchScheduler {
  public:
-  // For the first bytes of an answer. Longer than they take between two
-  // regions, and a small part of the time in which a change has to be in force.
+  // Time without the first bytes of a response after which another peer is
+  // tried. Longer than the first bytes take between two regions, and a small
+  // part of the time within which a change has to be in force.
   static constexpr base::Duration kFirstByteHedgeDelay =
       std::chrono::milliseconds(200);
-  // For the rest of it: a megabyte over a slow link takes most of a second, and
-  // a second copy beside it would only slow it down.
+  // The same, counted from the first bytes of a response. A megabyte takes most
+  // of a second over a slow link, and a parallel transfer would only slow it
+  // down.
   static constexpr base::Duration kTransferHedgeDelay = std::chrono::seconds(1);
-  // Nodes that are asked for one revision at once: bounds the bytes that arrive
-  // more than once.
+  // Concurrent fetches of one revision. Bounds the bytes that are transferred
+  // redundantly.
   static constexpr int kMaxConcurrentFetches = 6;
-  // After an answer that named a newer revision and lacked a part of it.
+  // Delay after a response that named a newer revision but was incomplete.
   static constexpr base::Duration kRetryDelay = std::chrono::milliseconds(200);
 
   void SetMembers(const membership::Member& self,
                   const std::vector<membership::Member>& members);
-  // `from` holds `revision`.
+  // Called when `from` has announced that it holds `revision`.
   void OnRevisionReported(uint64_t revision, const membership::Member& from);
 
-  // The node to ask now because a revision above `held` was heard of; null:
-  // none for now. It counts as asked until it answers or fails.
+  // Returns the peer to fetch from now, because a revision above
+  // `local_revision` was reported, and records the fetch as pending until
+  // OnResponse() or OnFailed(). Returns null if no fetch is due or no peer is
+  // left.
   const membership::Member* SelectPeerWithNewer(uint64_t local_revision,
                                                 base::Instant now,
                                                 base::Random& random);
-  // Any node that is not being asked; null: there is none.
+  // Returns any peer without a pending fetch and records a fetch as pending.
+  // Returns null if there is no such peer.
   const membership::Member* SelectAnyPeer(base::Instant now,
                                           base::Random& random);
-  // When SelectPeerWithNewer() is due again if nothing happens before.
+  // Returns when to call SelectPeerWithNewer() again unless an event comes
+  // first; Instant::max() if only an event can make a fetch due.
   base::Instant NextSelectionAt(uint64_t local_revision) const;
 
-  // The first bytes of an answer came.
+  // Called when the first bytes of a response have arrived.
   void OnTransferStarted(base::NodeId from, base::Instant now);
-  // `revision`: held by the node that answered; `held`: here, after the answer.
+  // `revision` is held by the responding peer, `local_revision` by this node
+  // after the response was applied.
   void OnResponse(base::NodeId from,
                   uint64_t revision,
                   uint64_t local_revision,
                   base::Instant now);
-  // It is asked again once it is heard again.
+  // The peer's reported revision is dropped until it reports one again.
   void OnFailed(base::NodeId from);
 
-  // The greatest revision that any other node was heard to hold.
+  // Returns the greatest revision that any peer has reported; zero if none.
   uint64_t GreatestReportedRevision() const;
   bool HasPeers() const { return !peers_.empty(); }
 
  private:
   struct PendingFetch {
-    uint64_t expected_revision = 0;  // The revision hoped for; zero: none.
-    base::Instant hedge_at;          // Nobody is asked beside it before.
+    uint64_t expected_revision = 0;  // Zero if no newer one is known.
+    base::Instant hedge_at;          // When another peer may be tried.
   };
 
-  // Questions that may bring a revision above `held`.
+  // Counts the pending fetches that may return a revision above
+  // `local_revision`.
   int CountUsefulFetches(uint64_t local_revision) const;
-  // One of those that are not being asked and fit; null if there is none.
+  // Returns a random peer that satisfies `predicate` and has no pending fetch;
+  // null if there is none.
   template <typename Predicate>
   const membership::Member* Pick(Predicate predicate,
                                  base::Random& random) const;
   bool HasReportedAbove(uint64_t local_revision,
                         const membership::Member& member) const;
 
-  std::vector<membership::Member> peers_;  // Alive, without this node.
-  // The revisions that other nodes were last heard to hold.
+  std::vector<membership::Member> peers_;  // Alive members except this node.
+  // The revision that each peer last reported.
   std::map<base::NodeId, uint64_t> reported_;
   std::map<base::NodeId, PendingFetch> pending_;
   base::Instant retry_at_;
--- a/src/libs/configuration/head.cc
+++ b/src/libs/configuration/head.cc
@@ -13,7 +13,8 @@
 
 using nlohmann::json;
 
-// What is left of `object` without the fields that are known.
+// Returns `object` without the fields in `known`, as text; empty if none
+// remain.
 std::string UnknownFields(json object,
                           std::initializer_list<const char*> known) {
   for (const char* name : known)
@@ -46,7 +47,7 @@
   entry.plan_id = object.value("plan", "");
   entry.confirmed_by = object.value("by", "");
   entry.confirmed_at = object.value("at", "");
-  // A name of its own: items() does not keep a temporary alive.
+  // A named variable, because items() does not extend the life of a temporary.
   const json changed = object.value("changed", json::object());
   for (const auto& [service, before] : changed.items())
     entry.changed[service] = before.get<std::string>();
--- a/src/libs/configuration/head.h
+++ b/src/libs/configuration/head.h
@@ -1,8 +1,8 @@
-// The confirmed configuration as it lies in the store: one small head under
+// The head of the confirmed configuration. The store holds one small head under
 // one key, and immutable documents under the hash of their content. A
-// confirmation writes its documents first and then the head, by one
-// compare-and-swap; so a configuration may pass a megabyte while every value
-// stays small.
+// confirmation first writes its documents and then replaces the head by one
+// compare-and-swap. A configuration may thus exceed a megabyte while each value
+// in the store stays small.
 #ifndef CONFIGURATION_HEAD_H_
 #define CONFIGURATION_HEAD_H_
 
@@ -18,44 +18,47 @@
 
 namespace chestnutport::configuration {
 
-// The hash of each service's document.
+// Maps services to the hashes of their documents.
 using Manifest = std::map<std::string, std::string, std::less<>>;
 
-// Confirmations that a head remembers, and the services that they may name
-// altogether; older confirmations keep who and when but lose what.
+// Limits of the history: the number of entries, and of changed services listed
+// in all entries together. Older entries beyond the second limit keep operator
+// and time but lose the list of services.
 inline constexpr size_t kMaxHistoryEntries = 50;
 inline constexpr size_t kMaxHistoryServices = 1000;
 
 struct Head {
-  uint64_t revision = 0;  // Zero: nothing was ever confirmed.
+  uint64_t revision = 0;  // Zero before the first confirmation.
   Manifest manifest;
-  std::vector<HistoryEntry> history;  // The oldest first.
-  // A JSON object with the fields that this version does not know; they are
-  // written back as they were.
+  std::vector<HistoryEntry> history;  // Oldest first.
+  // JSON object with the fields that this version does not know, or empty. They
+  // are written back unchanged.
   std::string unknown_fields;
 
   std::string ToJson() const;
-  // Nothing if `text` is no head.
+  // Returns nothing if `text` is not a valid head.
   static std::optional<Head> FromJson(std::string_view text);
 
-  // The confirmation that made this revision; null if there was none.
+  // Returns the latest confirmation that was not overruled; null if there is
+  // none.
   const HistoryEntry* LastConfirmation() const;
-  // The confirmation of a plan, if it is remembered and stands.
+  // Returns the confirmation of a plan; null if it is not in the history or was
+  // overruled.
   const HistoryEntry* FindPlan(std::string_view plan_id) const;
 };
 
-// The head that follows `base` once `manifest` is confirmed. The entry's
-// revision and what it changed are filled in here.
+// Returns the head that follows `base` when `manifest` is confirmed. Sets the
+// revision and the changed services of `confirmation`.
 Head NextHead(const Head& base, Manifest manifest, HistoryEntry confirmation);
 
-// The manifest of an earlier revision, worked back through the history;
-// nothing if the history does not reach that far.
+// Returns the manifest of an earlier revision, reconstructed from the history;
+// nothing if the history does not reach back that far.
 std::optional<Manifest> ManifestAt(const Head& head, uint64_t revision);
 
-// Forgets what is beyond kMaxHistoryEntries and kMaxHistoryServices.
+// Trims the history to kMaxHistoryEntries and kMaxHistoryServices.
 void BoundHistory(std::vector<HistoryEntry>& history);
 
-// The key of a fleet's head in the store.
+// Returns the key of a fleet's head in the store.
 std::string HeadKey(std::string_view fleet);
 
 }  // namespace chestnutport::configuration
--- a/src/libs/configuration/history_entry.h
+++ b/src/libs/configuration/history_entry.h
@@ -1,4 +1,4 @@
-// One confirmation, as the head remembers it.
+// One confirmation in the history of a head.
 #ifndef CONFIGURATION_HISTORY_ENTRY_H_
 #define CONFIGURATION_HISTORY_ENTRY_H_
 
@@ -11,13 +11,14 @@
 struct HistoryEntry {
   uint64_t revision = 0;
   std::string plan_id;
-  std::string confirmed_by;  // The operator's name.
+  std::string confirmed_by;  // Name of the operator.
   std::string confirmed_at;  // UTC, as 2026-01-31T12:00:00Z.
-  // The services it changed, with the hash of each before; empty: it is new.
+  // Maps the changed services to the hashes of their previous documents; an
+  // empty hash means that the service was added.
   std::map<std::string, std::string, std::less<>> changed;
-  bool forgotten = false;  // `changed` was dropped to bound the head.
-  // It was confirmed on a store that had been brought back from an older copy,
-  // and gave way to the newer configuration that the nodes had kept.
+  bool forgotten = false;  // `changed` was dropped to limit the head's size.
+  // Confirmed on a store that had been restored from an older backup, and
+  // superseded by the newer configuration that the nodes still held.
   bool overruled = false;
   std::string unknown_fields;  // As in Head.
 
--- a/src/libs/configuration/isolation_detector.h
+++ b/src/libs/configuration/isolation_detector.h
@@ -1,4 +1,5 @@
-// Whether this node hears from other nodes. Pure: times are passed in.
+// Detects that this node has lost contact with all other nodes. Has no clock:
+// times are passed in.
 #ifndef CONFIGURATION_ISOLATION_DETECTOR_H_
 #define CONFIGURATION_ISOLATION_DETECTOR_H_
 
@@ -8,29 +9,30 @@
 
 namespace chestnutport::configuration {
 
-// A node that is cut off from all others still has to hold what operators
-// confirm, and members are held for alive for seconds after they fell silent.
-// So it reads the store itself as soon as nothing is heard any more.
+// An isolated node still has to apply confirmed configurations, so it reads the
+// store itself. The failure detection of members is too slow for this: it
+// considers them alive for seconds after their last message.
 class IsolationDetector {
  public:
-  // Two probes of its own in a row are not answered in this time, and no other
-  // node has sent one.
+  // Within this time two consecutive probes by this node get no response, and
+  // no other node sends one.
   static constexpr base::Duration kIsolationTimeout =
       std::chrono::milliseconds(500);
-  // Between two checks. It takes two that find silence: a process that was
-  // stopped finds it at once as it goes on, and hears from others soon.
+  // Between two checks. Two consecutive checks have to fail: the first one
+  // after the process was paused fails although peers are reachable.
   static constexpr base::Duration kCheckInterval =
       std::chrono::milliseconds(250);
 
-  // Notes a check at `now`. `heard_at`: when another node was last heard of;
-  // nothing: never.
+  // Records a check at `now`. `heard_at` is the time of the last contact with
+  // any other node; nothing if there was none, which does not count as
+  // isolation.
   void Check(std::optional<base::Instant> heard_at, base::Instant now);
 
-  // By the last two checks.
+  // Whether the last two checks or more have failed.
   bool is_isolated() const { return failed_checks_ > 1; }
 
  private:
-  int failed_checks_ = 0;  // In a row.
+  int failed_checks_ = 0;  // Consecutive.
 };
 
 }  // namespace chestnutport::configuration
--- a/src/libs/configuration/local_configuration.cc
+++ b/src/libs/configuration/local_configuration.cc
@@ -12,7 +12,7 @@
     if (DocumentHash(text) != hash)
       return ApplyResult::kIncomplete;
   }
-  // Documents are kept even if some are still missing: they do not change.
+  // Documents are immutable, so they are kept even if others are missing.
   documents_.insert(added.begin(), added.end());
   if (!MissingDocuments(head.manifest, documents_).empty())
     return ApplyResult::kIncomplete;
--- a/src/libs/configuration/local_configuration.h
+++ b/src/libs/configuration/local_configuration.h
@@ -1,4 +1,4 @@
-// The configuration that this node holds: a head with all its documents.
+// The configuration that this node holds: a head and all its documents.
 #ifndef CONFIGURATION_LOCAL_CONFIGURATION_H_
 #define CONFIGURATION_LOCAL_CONFIGURATION_H_
 
@@ -9,19 +9,20 @@
 
 enum class ApplyResult {
   kApplied,
-  kNotNewer,    // What is held is as new or newer.
-  kIncomplete,  // A document is missing, or is not what its hash says.
+  kNotNewer,    // The local revision is as new or newer.
+  kIncomplete,  // A document is missing or does not match its hash.
 };
 
-// Moves only forwards: whatever the source of a head, it is taken only if its
-// revision is greater and all its documents are at hand.
+// The revision never decreases: a head from any source is applied only if its
+// revision is greater than the local one and all its documents are available.
 class LocalConfiguration {
  public:
-  // `added` are the documents that came along with `head`.
+  // `added` holds the documents received with `head`.
   ApplyResult Apply(const Head& head, const Documents& added);
 
   const Head& head() const { return head_; }
-  // Those of the head, and those of its history that were seen here.
+  // The documents of the head, and those named in its history that this node
+  // has received.
   const Documents& documents() const { return documents_; }
 
  private:
--- a/src/libs/configuration/packed_document_cache.cc
+++ b/src/libs/configuration/packed_document_cache.cc
@@ -11,10 +11,10 @@
 namespace chestnutport::configuration {
 namespace {
 
-// Bytes of a document, unpacked: several times the largest value that the
-// platform's store takes.
-constexpr size_t kLargest = 16 * 1024 * 1024;
-// Between the size and the bytes.
+// Largest unpacked document in bytes: several times the largest value that the
+// platform's store accepts.
+constexpr size_t kMaxDocumentBytes = 16 * 1024 * 1024;
+// Separates the unpacked size from the encoded bytes.
 constexpr char kSeparator = ':';
 
 const Bytef* Bytes(std::string_view text) {
@@ -40,7 +40,8 @@
   size_t size = 0;
   std::string bytes;
   const std::string_view encoded = packed.substr(separator + 1);
-  if (!absl::SimpleAtoi({packed.data(), separator}, &size) || size > kLargest ||
+  if (!absl::SimpleAtoi({packed.data(), separator}, &size) ||
+      size > kMaxDocumentBytes ||
       !absl::Base64Unescape({encoded.data(), encoded.size()}, &bytes)) {
     return std::nullopt;
   }
--- a/src/libs/configuration/packed_document_cache.h
+++ b/src/libs/configuration/packed_document_cache.h
@@ -1,6 +1,6 @@
-// Documents as they travel between nodes: compressed, in base64. A
-// configuration of a thousand routes is a few hundred kilobytes of much the
-// same words, and a node's link may be ten megabits a second.
+// Documents as sent between nodes: compressed and base64-encoded. A
+// configuration of a thousand routes is a few hundred kilobytes of repetitive
+// text, and a node's link may be as slow as 10 Mbit/s.
 #ifndef CONFIGURATION_PACKED_DOCUMENT_CACHE_H_
 #define CONFIGURATION_PACKED_DOCUMENT_CACHE_H_
 
@@ -14,15 +14,16 @@
 namespace chestnutport::configuration {
 
 std::string PackDocument(std::string_view text);
-// Nothing if it was not packed so, or is larger than any configuration.
+// Returns nothing if `packed` is malformed or the document exceeds the size
+// limit.
 std::optional<std::string> UnpackDocument(std::string_view packed);
 
-// Packs each document once, however many nodes ask for it.
+// Caches packed documents, so that each is packed once for all requests.
 class PackedDocumentCache {
  public:
-  // The packed form of `text`, whose hash is `hash`.
+  // Returns the packed form of `text`, whose hash is `hash`.
   const std::string& Pack(const std::string& hash, std::string_view text);
-  // Forgets what `documents` does not hold any more.
+  // Evicts the documents that are not in `documents`.
   void RetainOnly(const Documents& documents);
 
   size_t size() const { return packed_.size(); }
--- a/src/libs/configuration/plan.cc
+++ b/src/libs/configuration/plan.cc
@@ -31,8 +31,8 @@
   return services;
 }
 
-AffectedService Touch(const std::string& service,
-                      const std::vector<Change>& changes) {
+AffectedService MakeAffectedService(const std::string& service,
+                                    const std::vector<Change>& changes) {
   AffectedService affected{service, {}};
   const bool only_tenants = std::ranges::all_of(
       changes, [](const Change& c) { return c.section == kTenants; });
@@ -53,7 +53,7 @@
         service, FindText(base.texts, service), FindText(wanted, service));
     if (changes.empty())
       continue;
-    plan.affected.push_back(Touch(service, changes));
+    plan.affected.push_back(MakeAffectedService(service, changes));
     std::ranges::copy(changes, std::back_inserter(plan.changes));
   }
   return plan;
--- a/src/libs/configuration/plan.h
+++ b/src/libs/configuration/plan.h
@@ -1,4 +1,4 @@
-// What would change if an operator confirmed a set of declarations.
+// The changes that confirming a set of declarations would make.
 #ifndef CONFIGURATION_PLAN_H_
 #define CONFIGURATION_PLAN_H_
 
@@ -14,16 +14,16 @@
 
 namespace chestnutport::configuration {
 
-// A service that a plan changes, and whom that concerns.
+// A service that a plan changes, and the tenants affected.
 struct AffectedService {
   std::string service;
-  // The tenants whose requests it concerns. Empty: all of the service's.
+  // Tenants whose requests are affected; empty if those of all tenants are.
   std::set<std::string> tenants;
 };
 
 struct Plan {
   // Derived from the base revision and the declarations, so that any node can
-  // check it and no node has to keep it.
+  // verify a plan and none has to store it.
   std::string id;
   uint64_t base_revision = 0;
   std::vector<Change> changes;
@@ -33,12 +33,12 @@
 Plan MakePlan(const declarations::Configuration& base,
               const declarations::DeclarationTexts& wanted);
 
-// The identity of the plan that turns revision `base_revision` into `wanted`:
-// the revision, a hyphen, and a hash of both.
+// Returns the identifier of the plan that changes revision `base_revision` to
+// `wanted`: the revision, a hyphen, and a hash of both.
 std::string PlanId(uint64_t base_revision,
                    const declarations::DeclarationTexts& wanted);
 
-// The base revision that a plan's identity names; nothing if it is none.
+// Returns the base revision in a plan identifier; nothing if it is malformed.
 std::optional<uint64_t> BaseRevision(std::string_view plan_id);
 
 }  // namespace chestnutport::configuration
--- a/src/libs/configuration/read_timing.cc
+++ b/src/libs/configuration/read_timing.cc
@@ -7,7 +7,7 @@
 namespace chestnutport::configuration {
 namespace {
 
-constexpr int kSpreadPart = 5;
+constexpr int kFirstReadDivisor = 5;
 
 base::Duration Draw(base::Duration least,
                     base::Duration most,
@@ -20,10 +20,11 @@
 }  // namespace
 
 base::Duration ReadTiming::FirstReadDelay(base::Random& random) const {
-  const base::Duration spread =
-      std::min(kFirstReadJitter, max_interval_ / kSpreadPart);
-  const double part = std::cbrt(std::uniform_real_distribution<>(0, 1)(random));
-  return std::chrono::duration_cast<base::Duration>(part * spread);
+  const base::Duration jitter =
+      std::min(kFirstReadJitter, max_interval_ / kFirstReadDivisor);
+  const double fraction =
+      std::cbrt(std::uniform_real_distribution<>(0, 1)(random));
+  return std::chrono::duration_cast<base::Duration>(fraction * jitter);
 }
 
 base::Duration ReadTiming::NextReadDelay(bool read_failed,
@@ -39,8 +40,8 @@
                         interval_, static_cast<int64_t>(failing_nodes) *
                                        kFleetRetryInterval)
                   : interval_;
-  // Jitter only shortens the wait after a failure, and lengthens none: a
-  // healthy reader makes at most one call in kReadInterval.
+  // Jitter shortens the delay after a failure, but lengthens it otherwise: a
+  // healthy reader makes at most one call per kReadInterval.
   if (interval == kReadInterval)
     return Draw(kReadInterval, kReadInterval + kReadInterval / 8, random);
   return Draw(interval / 2, interval, random);
--- a/src/libs/configuration/read_timing.h
+++ b/src/libs/configuration/read_timing.h
@@ -1,4 +1,4 @@
-// How often a reader reads the head from the store.
+// Intervals and time-outs of the nodes that read the store.
 #ifndef CONFIGURATION_READ_TIMING_H_
 #define CONFIGURATION_READ_TIMING_H_
 
@@ -7,73 +7,82 @@
 
 namespace chestnutport::configuration {
 
-// Between two readings of one reader while all is well; with
-// kReadersPerDataCentre it bounds the fleet's calls whatever its size.
+// Between two reads by one reader in normal operation. Together with
+// kReadersPerDataCentre it bounds the fleet's calls regardless of its size.
 inline constexpr base::Duration kReadInterval = std::chrono::seconds(1);
-// The longest wait of a reader whose store fails, and of a node that knows of
-// no other: three thousand of those must not be three thousand calls a second.
+// Longest interval of a reader whose reads fail, and of a node that knows no
+// other node: 3000 such nodes must not make 3000 calls a second.
 inline constexpr base::Duration kMaxReadInterval = std::chrono::seconds(15);
-// All nodes that have lost the store together try it once in this time: it has
-// room for others when it is back, and whoever finds it back tells the rest.
+// Interval between retries of all nodes together that have lost the store. It
+// leaves capacity for other clients when the store recovers; the first
+// node that reaches it informs the others.
 inline constexpr base::Duration kFleetRetryInterval =
     std::chrono::milliseconds(100);
-// The first reading is spread over this time, or over a part of the longest
-// wait if that is shorter: a node without a configuration serves nobody.
+// The first read is delayed by up to this time, or by a fraction of the longest
+// interval if that is shorter. Short, because a node without a configuration
+// cannot serve requests.
 inline constexpr base::Duration kFirstReadJitter =
     std::chrono::milliseconds(500);
 
-// How long a watch waits at the store, drawn anew for each, as all readers
-// begin one with each change. A connection that goes silent is found out when
-// the watch ends, so it is short for the alert readers: what these find out
-// they tell all others, and a change has to be in force within two seconds.
+// Duration of a watch. It is randomised for each watch, because all readers
+// start one at each change. A lost connection is detected only when the watch
+// ends. The watches of a few readers are therefore short: these inform all
+// other nodes, and a change has to be in force within two seconds.
 inline constexpr std::chrono::milliseconds kMaxShortWatch(800);
 inline constexpr std::chrono::milliseconds kMinLongWatch(2000);
 inline constexpr std::chrono::milliseconds kMaxLongWatch(10000);
-// The same where there are five seconds.
+// The same for evacuations, which have to be in force within five seconds.
 inline constexpr std::chrono::milliseconds kMaxShortEvacuationWatch(2000);
-// How much later its answer may come before the connection counts as lost. A
-// store that takes longer than the alert readers' has to be asked more often.
+// How long after its end the response to a watch may arrive before the
+// connection counts as lost. If the store is slower than the grace of the short
+// watches, it has to be read more often instead.
 inline constexpr std::chrono::milliseconds kShortWatchGrace(500);
 inline constexpr std::chrono::milliseconds kLongWatchGrace(1000);
-// The same of a reading. The longest that a slow store takes as a rule.
+// How long a read may take before the store counts as lost. Even a slow store
+// usually responds within this time.
 inline constexpr base::Duration kSlowReadThreshold =
     std::chrono::milliseconds(500);
-// How long readers that are not alert leave it to those and to the gossip to
-// hear of a next change, when changes come in quick succession; half of the
-// time in which one has to be in force.
+// Delay of a reader with long watches before its next watch after a change. If
+// changes come in quick succession, it learns of the next one from the
+// short-watch readers by gossip. Half of the time within which a change has to
+// be in force.
 inline constexpr base::Duration kDelayAfterChange = std::chrono::seconds(1);
-// Readers whose watches were cut together read again spread over this time.
+// Readers whose watches ended at the same time spread their next reads over
+// this time.
 inline constexpr base::Duration kRereadJitter = std::chrono::milliseconds(200);
 
-// How long a watch waits at the store, and how much longer for its answer.
+// Duration of a watch, and the additional time within which its response may
+// arrive.
 struct WatchDurations {
   std::chrono::milliseconds wait;
   std::chrono::milliseconds grace;
 };
 
-// Draws each wait between half and the whole of an interval that doubles after
-// a failure, and while the node is alone.
+// Draws the delays between reads. After a failure, and while the node is alone,
+// the interval doubles and the delay is drawn between half of it and all of it.
 class ReadTiming {
  public:
-  // `longest`: the longest wait after failures. `max_short_watch`: the longest
-  // watch of an alert reader.
+  // `max_interval` limits the interval after failures, `max_short_watch` the
+  // watches of short-watch readers.
   explicit ReadTiming(
       base::Duration max_interval = kMaxReadInterval,
       std::chrono::milliseconds max_short_watch = kMaxShortWatch)
       : max_interval_(max_interval), max_short_watch_(max_short_watch) {}
 
-  // A wait before the first reading, up to the spread: short for a few of the
-  // nodes that start together, whose news the others hear before they would
-  // read themselves. A node that starts beside a running fleet has its
-  // configuration from a neighbour after some 70 ms, and seldom reads before.
+  // Returns the delay before the first read, at most kFirstReadJitter. It is
+  // short for only a few of the nodes that start together; the others receive
+  // the configuration from these before they would read it. A node that joins a
+  // running fleet receives it from a peer after about 70 ms, and seldom reads
+  // before that.
   base::Duration FirstReadDelay(base::Random& random) const;
-  // `failing`: nodes whose readings fail, as far as this one knows.
+  // Returns the delay before the next read. `failing_nodes` is the number of
+  // nodes known to this one whose reads fail, including this one.
   base::Duration NextReadDelay(bool read_failed,
                                bool is_alone,
                                size_t failing_nodes,
                                base::Random& random);
   WatchDurations DrawWatch(bool has_short_watches, base::Random& random) const;
-  // A wait after a watch that was cut.
+  // Returns the delay before the read after a watch that ended early.
   static base::Duration RereadDelay(base::Random& random);
 
  private:
--- a/src/libs/configuration/reader_role.cc
+++ b/src/libs/configuration/reader_role.cc
@@ -10,25 +10,26 @@
 ReadTrigger ReaderRole::SetMembers(
     const membership::Member& self,
     std::span<const membership::Member> members) {
-  const ReaderSelection ranks(members);
+  const ReaderSelection selection(members);
   is_alone_ = std::ranges::none_of(members, [&](const auto& member) {
     return member.id != self.id &&
            member.state == membership::MemberState::kAlive;
   });
-  members_without_store_ = ranks.members_without_store();
-  const bool was_reader = std::exchange(is_reader_, ranks.IsReader(self));
-  const bool was_alert = std::exchange(
-      has_short_watches_, is_reader_ && ranks.IsShortWatchReader(self));
-  const size_t were_lost =
+  members_without_store_ = selection.members_without_store();
+  const bool was_reader = std::exchange(is_reader_, selection.IsReader(self));
+  const bool had_short_watches = std::exchange(
+      has_short_watches_, is_reader_ && selection.IsShortWatchReader(self));
+  const size_t lost_before =
       std::exchange(short_watch_readers_without_store_,
-                    ranks.CountShortWatchReadersWithoutStore());
+                    selection.CountShortWatchReadersWithoutStore());
   const bool has_new_role =
-      (is_reader_ && !was_reader) || (has_short_watches_ && !was_alert);
+      (is_reader_ && !was_reader) || (has_short_watches_ && !had_short_watches);
   if (has_new_role)
     return ReadTrigger::kNewRole;
-  const bool alert_reader_lost = short_watch_readers_without_store_ > were_lost;
-  if (!ranks.IsSmallFleet() && alert_reader_lost &&
-      ranks.IsReaderCandidate(self))
+  const bool short_watch_reader_lost =
+      short_watch_readers_without_store_ > lost_before;
+  if (!selection.IsSmallFleet() && short_watch_reader_lost &&
+      selection.IsReaderCandidate(self))
     return ReadTrigger::kShortWatchReaderLostStore;
   return ReadTrigger::kNone;
 }
--- a/src/libs/configuration/reader_role.h
+++ b/src/libs/configuration/reader_role.h
@@ -9,11 +9,11 @@
 
 namespace chestnutport::configuration {
 
-// Why the store is to be read at once, whatever watch is open.
+// Why the store has to be read at once, even if a watch is open.
 enum class ReadTrigger {
   kNone,
-  kNewRole,  // It has become a reader, or an alert one.
-  // Once, also by who may stand in for it.
+  kNewRole,  // The node has become a reader or a short-watch reader.
+  // Triggers one read by each candidate, whether or not it is a reader.
   kShortWatchReaderLostStore,
 };
 
@@ -23,13 +23,13 @@
       const membership::Member& self,
       std::span<const membership::Member> members);
 
-  // True until other members are known.
+  // True until SetMembers() is called, so that a starting node reads.
   bool is_reader() const { return is_reader_; }
-  // Whether its watches are short; see ReaderSelection.
+  // Whether the node is a short-watch reader; see ReaderSelection.
   bool has_short_watches() const { return has_short_watches_; }
   // Whether no other node is known to be alive.
   bool is_alone() const { return is_alone_; }
-  // Members that are alive and have said that they lost the store.
+  // Members that are alive and have reported the loss of the store.
   size_t members_without_store() const { return members_without_store_; }
 
  private:
--- a/src/libs/configuration/reader_selection.cc
+++ b/src/libs/configuration/reader_selection.cc
@@ -61,18 +61,18 @@
 }
 
 size_t ReaderSelection::CountShortWatchReadersWithoutStore() const {
-  const auto lost =
+  const auto count =
       std::ranges::count_if(alive_, [this](const AliveMember& member) {
         return !member.can_read &&
                IsAmongShortWatchReaders(member.data_centre, member.order);
       });
-  return static_cast<size_t>(lost);
+  return static_cast<size_t>(count);
 }
 
 bool ReaderSelection::IsAmongShortWatchReaders(std::string_view data_centre,
                                                const Order& order) const {
-  const auto near = first_readers_.find(data_centre);
-  if (near != first_readers_.end() && near->second < order)
+  const auto local = first_readers_.find(data_centre);
+  if (local != first_readers_.end() && local->second < order)
     return false;
   const auto ahead = std::ranges::count_if(
       first_readers_, [&](const auto& first) { return first.second < order; });
--- a/src/libs/configuration/reader_selection.h
+++ b/src/libs/configuration/reader_selection.h
@@ -1,4 +1,4 @@
-// Which nodes read the store for the others.
+// Selects the nodes that read the store on behalf of the others.
 #ifndef CONFIGURATION_READER_SELECTION_H_
 #define CONFIGURATION_READER_SELECTION_H_
 
@@ -14,48 +14,51 @@
 
 namespace chestnutport::configuration {
 
-// One may be lost at the same time as the other data centres.
+// Two, so that one may fail while the other data centres are unreachable.
 inline constexpr size_t kReadersPerDataCentre = 2;
-// A fleet of so many nodes, or fewer, has each of them read: it costs little,
-// and any that reaches the store hears of a change at once. In a larger one,
-// readers that have lost the store hand the duty on, which takes a second or
+// In a fleet of at most this size every node is a reader: this costs little,
+// and each node that reaches the store learns of a change at once. In a larger
+// fleet, readers that have lost the store are replaced, which takes a second or
 // two.
 inline constexpr size_t kSmallFleetSize = 16;
-// Nodes that try in place of readers that have lost the store, those included;
-// at least one more in each data centre. Bounds what is asked of a store that
-// serves nobody.
+// Nodes in the fleet that may be readers, including those that have lost the
+// store; in each data centre at least one more than kReadersPerDataCentre.
+// Bounds the calls to a store that is unavailable to all nodes.
 inline constexpr size_t kMaxReaderCandidates = 32;
-// Readers whose watches are short. Two: one may be lost at the same time.
+// Readers whose watches are short. Two, so that one may fail.
 inline constexpr size_t kShortWatchReaders = 2;
 
-// The members that are alive, in the order in which they take the duty; see
-// duties::StoreDutyOrder(). Nodes whose views differ may choose other readers
-// for a while; that is harmless. The members that it is made of must outlive
-// it.
+// Ranks the members that are alive by duties::StoreDutyOrder(). Nodes with
+// different views of the fleet may temporarily select different readers, which
+// is harmless. The members passed to the constructor must outlive the
+// selection.
 class ReaderSelection {
  public:
   explicit ReaderSelection(std::span<const membership::Member> members);
 
-  // True if the fleet is small, or `self` is among the first
-  // kReadersPerDataCentre of its data centre that have not lost the store. One
-  // that has goes on trying, and the next one reads beside it.
+  // Returns whether the fleet is small, or `self` is a candidate and fewer than
+  // kReadersPerDataCentre members of its data centre that have not lost the
+  // store rank before it. A reader that has lost the store keeps retrying while
+  // the next member reads too.
   bool IsReader(const membership::Member& self) const;
 
-  // True if `self` is among those that may take a reader's place. They read
-  // once when an alert reader has lost the store: whoever reaches it brings
-  // what was confirmed, and the others are passed over when readers are chosen.
+  // Returns whether `self` may replace a reader. Candidates read once when a
+  // short-watch reader has lost the store: those that reach it distribute what
+  // was confirmed, and the others are skipped in the selection of readers.
   bool IsReaderCandidate(const membership::Member& self) const;
 
-  // True if `self` is one of the fleet's alert readers: the first reader of its
-  // data centre, which is one of the first kShortWatchReaders that have such.
-  // If all readers lose their watches at once, these find out soon.
+  // Returns whether `self` is one of the fleet's short-watch readers: the first
+  // reader of its data centre, and among the first kShortWatchReaders of these
+  // in the fleet. If all readers lose their connections at once, the
+  // short-watch readers detect it soon.
   bool IsShortWatchReader(const membership::Member& self) const;
 
-  // Members that would be alert readers, had they not lost the store.
+  // Counts the members that would be short-watch readers if they had not lost
+  // the store.
   size_t CountShortWatchReadersWithoutStore() const;
-  // All that have lost it.
+  // Members that are alive and have lost the store.
   size_t members_without_store() const { return members_without_store_; }
-  // Whether each node reads.
+  // Whether every node is a reader.
   bool IsSmallFleet() const { return alive_.size() <= kSmallFleetSize; }
 
  private:
@@ -70,7 +73,7 @@
                                 const Order& order) const;
 
   std::vector<AliveMember> alive_;
-  // By data centre, of those that have not lost the store.
+  // The first member of each data centre that has not lost the store.
   absl::flat_hash_map<std::string_view, Order> first_readers_;
   size_t data_centres_ = 0;
   size_t members_without_store_ = 0;
--- a/src/libs/configuration/repair.cc
+++ b/src/libs/configuration/repair.cc
@@ -6,22 +6,23 @@
 namespace chestnutport::configuration {
 namespace {
 
-auto Order(const Head& head) {
+auto ConfirmationOrder(const Head& head) {
   const HistoryEntry* last = head.LastConfirmation();
   return last ? std::tuple(last->confirmed_at, last->plan_id)
               : std::tuple(std::string(), std::string());
 }
 
-// `standing` with the confirmations that only `other` knows, as overruled.
-Head Overrule(const Head& standing, const Head& other) {
-  Head head = standing;
-  const uint64_t reach = standing.history.empty()
-                             ? standing.revision
-                             : standing.history.front().revision;
+// Returns `winner` with the confirmations that only `other` contains, marked as
+// overruled.
+Head Overrule(const Head& winner, const Head& other) {
+  Head head = winner;
+  const uint64_t oldest = winner.history.empty()
+                              ? winner.revision
+                              : winner.history.front().revision;
   for (HistoryEntry entry : other.history) {
     const bool known = std::ranges::any_of(
-        standing.history, [&](auto& e) { return e.plan_id == entry.plan_id; });
-    if (known || entry.revision < reach)
+        winner.history, [&](auto& e) { return e.plan_id == entry.plan_id; });
+    if (known || entry.revision < oldest)
       continue;
     entry.overruled = true;
     head.history.push_back(std::move(entry));
@@ -38,9 +39,11 @@
     return std::nullopt;
   if (stored.revision < local.revision)
     return Overrule(local, stored);
-  if (stored.manifest == local.manifest && Order(stored) == Order(local))
+  if (stored.manifest == local.manifest &&
+      ConfirmationOrder(stored) == ConfirmationOrder(local))
     return std::nullopt;
-  const bool stored_is_later = Order(stored) > Order(local);
+  const bool stored_is_later =
+      ConfirmationOrder(stored) > ConfirmationOrder(local);
   Head head =
       stored_is_later ? Overrule(stored, local) : Overrule(local, stored);
   ++head.revision;
--- a/src/libs/configuration/repair.h
+++ b/src/libs/configuration/repair.h
@@ -1,5 +1,5 @@
-// What to do about a store that holds less than a node does, as after it was
-// brought back from an older copy.
+// Repairs a store that holds an older configuration than a node, for example
+// after it was restored from a backup.
 #ifndef CONFIGURATION_REPAIR_H_
 #define CONFIGURATION_REPAIR_H_
 
@@ -9,10 +9,11 @@
 
 namespace chestnutport::configuration {
 
-// The head to write over `stored`; nothing if `stored` is right. The newer
-// revision stands. Two different heads of one revision become one of the next,
-// with the content of the later confirmation. A confirmation that gives way is
-// kept in the history, marked as overruled.
+// Returns the head to write in place of `stored`, or nothing if `stored` needs
+// no repair. The newer revision wins. Two different heads of the same revision
+// are merged into the next revision, with the content of the later
+// confirmation. Confirmations that lose stay in the history, marked as
+// overruled.
 std::optional<Head> RepairStore(const Head& stored, const Head& local);
 
 }  // namespace chestnutport::configuration
--- a/src/libs/configuration/revision_lag.h
+++ b/src/libs/configuration/revision_lag.h
@@ -1,4 +1,5 @@
-// Since when this node knows of a newer revision than the one in force here.
+// Measures for how long this node has known of a newer revision than the one it
+// has in force.
 #ifndef CONFIGURATION_REVISION_LAG_H_
 #define CONFIGURATION_REVISION_LAG_H_
 
@@ -10,12 +11,13 @@
 
 class RevisionLag {
  public:
-  // The store or another node holds `revision`.
+  // Called when the store or another node was found to hold `revision`.
   void OnRevisionReported(uint64_t revision, base::Instant now);
-  // Returns for how long a newer revision than the one before was known.
+  // Called when `revision` comes into force. Returns for how long a newer
+  // revision than the previous one was known.
   base::Duration OnInForce(uint64_t revision, base::Instant now);
 
-  // Zero: nothing newer is known.
+  // Returns the current lag; zero if no newer revision is known.
   base::Duration Behind(base::Instant now) const;
 
  private:
--- a/tests/auto/configuration/confirm_procedure_test.cc
+++ b/tests/auto/configuration/confirm_procedure_test.cc
@@ -1,5 +1,6 @@
-// Confirmations by several operators at once, against a store that loses,
-// delays and repeats: what the operators are told is true.
+// Several operators confirm concurrently, against a store that loses, delays
+// and repeats requests. Guards against reporting a wrong outcome to an
+// operator.
 #include "configuration/confirm_procedure.h"
 
 #include <rapidcheck/catch.h>
@@ -20,22 +21,22 @@
 using base::ErrorKind;
 using base::make_error_code;
 
-// A store with one head, which keeps all its past so that it can be read late.
+// A store with one head. Keeps all versions to simulate stale reads.
 struct FakeStore {
-  std::vector<StoredHead> past = {StoredHead{}};
+  std::vector<StoredHead> versions = {StoredHead{}};
   std::set<std::string> documents;
 
-  const StoredHead& now() const { return past.back(); }
+  const StoredHead& latest() const { return versions.back(); }
   bool Swap(const SwapHead& swap) {
-    if (swap.expected_store_revision != now().store_revision)
+    if (swap.expected_store_revision != latest().store_revision)
       return false;
-    past.push_back({swap.head, now().store_revision + 1});
+    versions.push_back({swap.head, latest().store_revision + 1});
     return true;
   }
 };
 
-// Says "not confirmed" as soon as an answer is lost.
-class Hasty : public ConfirmProcedure {
+// Faulty procedure that reports failure as soon as a response is lost.
+class FailingOnLostResponse : public ConfirmProcedure {
  public:
   using ConfirmProcedure::ConfirmProcedure;
   ConfirmStep OnSwap(base::Instant now, const base::Result<bool>& swapped) {
@@ -45,8 +46,8 @@
   }
 };
 
-// Takes a lost answer for a success.
-class Trusting : public ConfirmProcedure {
+// Faulty procedure that treats a lost response as success.
+class SucceedingOnLostResponse : public ConfirmProcedure {
  public:
   using ConfirmProcedure::ConfirmProcedure;
   ConfirmStep OnSwap(base::Instant now, const base::Result<bool>& swapped) {
@@ -54,26 +55,27 @@
   }
 };
 
-// Operators that take turns at random, one step of one operator at a time.
+// Runs several operators concurrently: executes one step of a random operator
+// at a time.
 template <typename Procedure>
-class Race {
+class ConcurrentOperators {
  public:
-  explicit Race(uint64_t seed) : random_(seed) {}
+  explicit ConcurrentOperators(uint64_t seed) : random_(seed) {}
 
-  // The first untruth, or nothing.
+  // Returns the first violation, or nothing.
   std::optional<std::string> Run() {
     for (int i = 0; i < kOperators; ++i)
       Add(i);
     while (!running_.empty()) {
       now_ += std::chrono::milliseconds(Draw(300));
-      if (!late_.empty() && Draw(4) == 0)
-        RunLate();
-      const size_t turn = Draw(running_.size());
-      Step(turn);
+      if (!delayed_swaps_.empty() && Draw(4) == 0)
+        ApplyDelayedSwap();
+      const size_t index = Draw(running_.size());
+      Step(index);
     }
-    while (!late_.empty())
-      RunLate();
-    return FindUntruth();
+    while (!delayed_swaps_.empty())
+      ApplyDelayedSwap();
+    return FindViolation();
   }
 
  private:
@@ -98,31 +100,31 @@
     running_.push_back({procedure, first, request.plan_id});
   }
 
-  void Step(size_t turn) {
-    Operator& self = running_[turn];
+  void Step(size_t index) {
+    Operator& self = running_[index];
     if (const auto* finish = std::get_if<Finish>(&self.next)) {
-      told_.push_back({self.plan, *finish});
-      running_.erase(running_.begin() + static_cast<std::ptrdiff_t>(turn));
+      finished_.push_back({self.plan, *finish});
+      running_.erase(running_.begin() + static_cast<std::ptrdiff_t>(index));
       return;
     }
     self.next =
-        std::visit([&](auto& step) { return Act(self, step); }, self.next);
+        std::visit([&](auto& step) { return Execute(self, step); }, self.next);
   }
 
-  ConfirmStep Act(Operator& self, const ReadHead&) {
+  ConfirmStep Execute(Operator& self, const ReadHead&) {
     if (Draw(6) == 0) {
       const base::Result<StoredHead> error =
           make_error_code(ErrorKind::kStoreUnavailable);
       return self.procedure.OnHead(now_, error, local_, 0);
     }
-    // Sometimes an old reading.
-    const size_t back = Draw(5) == 0 ? Draw(store_.past.size()) : 0;
+    // Some reads are stale.
+    const size_t age = Draw(5) == 0 ? Draw(store_.versions.size()) : 0;
     const base::Result<StoredHead> stored =
-        store_.past[store_.past.size() - 1 - back];
+        store_.versions[store_.versions.size() - 1 - age];
     return self.procedure.OnHead(now_, stored, local_, 0);
   }
 
-  ConfirmStep Act(Operator& self, const WriteDocuments& step) {
+  ConfirmStep Execute(Operator& self, const WriteDocuments& step) {
     const bool lost = Draw(6) == 0;
     for (const auto& [hash, text] : step.documents) {
       if (!lost || Draw(2) == 0)
@@ -131,7 +133,7 @@
     return self.procedure.OnDocuments(now_, !lost);
   }
 
-  ConfirmStep Act(Operator& self, const SwapHead& step) {
+  ConfirmStep Execute(Operator& self, const SwapHead& step) {
     const base::Result<bool> lost =
         make_error_code(ErrorKind::kStoreOutcomeUnknown);
     switch (Draw(7)) {
@@ -140,13 +142,13 @@
             now_, make_error_code(ErrorKind::kStoreUnavailable));
       case 1:  // The request is lost.
         return self.procedure.OnSwap(now_, lost);
-      case 2:  // The answer is lost.
+      case 2:  // The response is lost.
         store_.Swap(step);
         return self.procedure.OnSwap(now_, lost);
-      case 3:  // It takes effect much later.
-        late_.push_back(step);
+      case 3:  // The request takes effect much later.
+        delayed_swaps_.push_back(step);
         return self.procedure.OnSwap(now_, lost);
-      case 4: {  // It arrives twice, and the first answer is lost.
+      case 4: {  // The request arrives twice, and the first response is lost.
         store_.Swap(step);
         return self.procedure.OnSwap(now_, store_.Swap(step));
       }
@@ -155,50 +157,53 @@
     }
   }
 
-  ConfirmStep Act(Operator& self, const Backoff& step) {
+  ConfirmStep Execute(Operator& self, const Backoff& step) {
     now_ += step.duration / 4;
     return self.procedure.OnBackoffElapsed();
   }
 
-  ConfirmStep Act(Operator&, const Finish& step) { return step; }
+  ConfirmStep Execute(Operator&, const Finish& step) { return step; }
 
-  void RunLate() {
-    store_.Swap(late_.front());
-    late_.pop_front();
+  void ApplyDelayedSwap() {
+    store_.Swap(delayed_swaps_.front());
+    delayed_swaps_.pop_front();
   }
 
-  std::optional<std::string> FindUntruth() const {
+  std::optional<std::string> FindViolation() const {
     std::set<std::string> plans;
-    for (size_t i = 1; i < store_.past.size(); ++i) {
-      const Head& head = store_.past[i].head;
-      if (head.revision != store_.past[i - 1].head.revision + 1)
+    for (size_t i = 1; i < store_.versions.size(); ++i) {
+      const Head& head = store_.versions[i].head;
+      if (head.revision != store_.versions[i - 1].head.revision + 1)
         return "a revision was skipped, repeated or went back";
       for (const auto& [service, hash] : head.manifest) {
         if (!store_.documents.contains(hash))
-          return "a head names a document that is not there";
+          return "a head names a document that is missing";
       }
       if (!plans.insert(head.LastConfirmation()->plan_id).second)
         return "a plan was confirmed twice";
     }
-    for (const auto& [plan, finish] : told_) {
+    for (const auto& [plan, finish] : finished_) {
       const bool confirmed = plans.contains(plan);
-      const bool said_yes = finish.outcome == ConfirmOutcome::kConfirmed ||
-                            finish.outcome == ConfirmOutcome::kAlreadyConfirmed;
-      const bool said_no = finish.outcome == ConfirmOutcome::kStale ||
-                           finish.outcome == ConfirmOutcome::kUnavailable;
-      if (said_yes && !confirmed)
-        return "confirmed was said of a plan that is not";
-      if (said_no && confirmed && !AnotherConfirmed(plan))
-        return "not confirmed was said of a plan that is";
+      const bool reported_confirmed =
+          finish.outcome == ConfirmOutcome::kConfirmed ||
+          finish.outcome == ConfirmOutcome::kAlreadyConfirmed;
+      const bool reported_failed =
+          finish.outcome == ConfirmOutcome::kStale ||
+          finish.outcome == ConfirmOutcome::kUnavailable;
+      if (reported_confirmed && !confirmed)
+        return "reported as confirmed, but is not";
+      if (reported_failed && confirmed && !IsSentByAnother(plan))
+        return "reported as not confirmed, but is";
     }
     return std::nullopt;
   }
 
-  // Two operators may send the same plan: one may give up before the other
+  // Two operators may send the same plan, and one may give up before the other
   // confirms it.
-  bool AnotherConfirmed(const std::string& plan) const {
+  bool IsSentByAnother(const std::string& plan) const {
     const auto sent = std::ranges::count_if(
-        told_, [&](const auto& told) { return told.first == plan; });
+        finished_,
+        [&](const auto& finished) { return finished.first == plan; });
     return sent > 1;
   }
 
@@ -206,34 +211,34 @@
   base::Instant now_;
   FakeStore store_;
   Head local_;
-  std::deque<SwapHead> late_;
+  std::deque<SwapHead> delayed_swaps_;
   std::vector<Operator> running_;
-  std::vector<std::pair<std::string, Finish>> told_;
+  std::vector<std::pair<std::string, Finish>> finished_;
 };
 
 template <typename Procedure>
-bool IsCaughtLying() {
+bool DetectsViolation() {
   for (uint64_t seed = 0; seed < 500; ++seed) {
-    if (Race<Procedure>(seed).Run())
+    if (ConcurrentOperators<Procedure>(seed).Run())
       return true;
   }
   return false;
 }
 
-TEST_CASE("racing operators are told the truth") {
-  rc::prop("whatever the store loses, delays or repeats", [] {
+TEST_CASE("concurrent confirmations report the actual outcome") {
+  rc::prop("if the store loses, delays or repeats requests", [] {
     const auto seed = *rc::gen::arbitrary<uint64_t>();
-    const auto untruth = Race<ConfirmProcedure>(seed).Run();
-    if (untruth)
-      RC_FAIL(*untruth);
+    const auto violation = ConcurrentOperators<ConfirmProcedure>(seed).Run();
+    if (violation)
+      RC_FAIL(*violation);
   });
-  SECTION("which procedures without reading back are not") {
-    CHECK(IsCaughtLying<Hasty>());
-    CHECK(IsCaughtLying<Trusting>());
+  SECTION("the property detects procedures that do not read back") {
+    CHECK(DetectsViolation<FailingOnLostResponse>());
+    CHECK(DetectsViolation<SucceedingOnLostResponse>());
   }
 }
 
-TEST_CASE("one confirmation, step by step") {
+TEST_CASE("steps of one confirmation") {
   const declarations::DeclarationTexts texts = {{"a", "1"}};
   const base::Instant start;
   const base::Instant late = start + std::chrono::seconds(9);
@@ -244,7 +249,7 @@
     return std::get<Finish>(step).outcome;
   };
 
-  SECTION("a store that never answers: nothing was changed") {
+  SECTION("reports an unavailable store if it never responds") {
     const base::Result<StoredHead> down =
         make_error_code(ErrorKind::kStoreUnavailable);
     REQUIRE(
@@ -252,14 +257,14 @@
     CHECK(outcome(procedure.OnHead(late, down, {}, 0)) ==
           ConfirmOutcome::kUnavailable);
   }
-  SECTION("a node that heard of a newer revision waits for it") {
+  SECTION("waits for a newer revision that was reported") {
     CHECK(std::holds_alternative<Backoff>(
         procedure.OnHead(start, StoredHead{}, {}, 1)));
     Head newer = NextHead({}, {}, {.plan_id = "other"});
     CHECK(outcome(procedure.OnHead(start, StoredHead{}, newer, 1)) ==
           ConfirmOutcome::kStale);
   }
-  SECTION("a plan that others confirmed upon is found in the history") {
+  SECTION("finds the plan in the history after later confirmations") {
     Head head = NextHead({}, MakeManifest(texts), {.plan_id = request.plan_id});
     head = NextHead(head, {}, {.plan_id = "other"});
     const ConfirmStep step =
@@ -267,7 +272,7 @@
     CHECK(outcome(step) == ConfirmOutcome::kAlreadyConfirmed);
     CHECK(std::get<Finish>(step).revision == 1);
   }
-  SECTION("once it is sent") {
+  SECTION("after the swap was sent") {
     const ConfirmStep write = procedure.OnHead(start, StoredHead{}, {}, 0);
     REQUIRE(std::get<WriteDocuments>(write).documents.size() == 1);
     const ConfirmStep swap = procedure.OnDocuments(start, true);
@@ -275,16 +280,16 @@
     const base::Result<bool> lost =
         make_error_code(ErrorKind::kStoreOutcomeUnknown);
 
-    SECTION("a lost answer is resolved by reading back") {
+    SECTION("resolves a lost response by reading back") {
       REQUIRE(std::holds_alternative<Backoff>(procedure.OnSwap(start, lost)));
       const StoredHead mine{std::get<SwapHead>(swap).head, 1};
       CHECK(outcome(procedure.OnHead(start, mine, {}, 0)) ==
             ConfirmOutcome::kConfirmed);
     }
-    SECTION("if that fails too, the operator is told that it is unknown") {
+    SECTION("reports an unknown outcome if the deadline passes before that") {
       CHECK(outcome(procedure.OnSwap(late, lost)) == ConfirmOutcome::kUnknown);
     }
-    SECTION("another's revision in its place is told with what changed") {
+    SECTION("reports a stale plan if another revision took its place") {
       procedure.OnSwap(start, lost);
       const Head other = NextHead({}, {}, {.plan_id = "other"});
       const ConfirmStep step =
--- a/tests/auto/configuration/fetch_plan_test.cc
+++ b/tests/auto/configuration/fetch_plan_test.cc
@@ -1,4 +1,5 @@
-// Whom a node asks for a newer configuration, in virtual time.
+// Selection of the peers from which a newer configuration is fetched, in
+// virtual time. Guards against unresponsive peers delaying a revision.
 #include "configuration/fetch_scheduler.h"
 
 #include <algorithm>
@@ -12,7 +13,7 @@
 using membership::Member;
 using std::chrono::milliseconds;
 
-constexpr uint64_t kHeld = 1;
+constexpr uint64_t kLocal = 1;
 constexpr uint64_t kNew = 2;
 
 std::vector<Member> MakeMembers(size_t count, base::Random& random) {
@@ -22,140 +23,150 @@
   return members;
 }
 
-// How long one node takes to get a revision that all others hold, if some of
-// them are silent and not known to be: virtual time.
-class SilentFleet {
+// Measures in virtual time how long one node takes to fetch a revision that all
+// peers hold, if some of them are unresponsive and not yet known to be.
+class UnresponsiveFleet {
  public:
-  SilentFleet(size_t nodes, double silent_share, int seed) : random_(seed) {
+  UnresponsiveFleet(size_t nodes, double unresponsive_share, int seed)
+      : random_(seed) {
     members_ = MakeMembers(nodes, random_);
     for (const Member& member : members_) {
-      if (std::bernoulli_distribution(silent_share)(random_))
-        silent_.insert(member.id);
+      if (std::bernoulli_distribution(unresponsive_share)(random_))
+        unresponsive_.insert(member.id);
     }
-    plan_.SetMembers(Member(), members_);
+    scheduler_.SetMembers(Member(), members_);
   }
 
-  // The rumour comes from `heard` nodes, the first of which went silent.
-  base::Duration TimeToTake(size_t heard) {
-    silent_.insert(members_[0].id);
-    for (size_t i = 0; i < heard; ++i)
-      plan_.OnRevisionReported(kNew, members_[i]);
+  // The revision is reported by `reporters` peers, the first of which became
+  // unresponsive.
+  base::Duration MeasureFetchTime(size_t reporters) {
+    unresponsive_.insert(members_[0].id);
+    for (size_t i = 0; i < reporters; ++i)
+      scheduler_.OnRevisionReported(kNew, members_[i]);
     base::Duration passed{};
-    while (passed < kGivenUp) {
-      const auto* asked =
-          plan_.SelectPeerWithNewer(kHeld, base::Instant() + passed, random_);
-      if (asked && !silent_.contains(asked->id))
+    while (passed < kTimeout) {
+      const auto* peer = scheduler_.SelectPeerWithNewer(
+          kLocal, base::Instant() + passed, random_);
+      if (peer && !unresponsive_.contains(peer->id))
         return passed;
       passed += milliseconds(1);
     }
-    return kGivenUp;
+    return kTimeout;
   }
 
  private:
-  static constexpr base::Duration kGivenUp = std::chrono::seconds(2);
+  static constexpr base::Duration kTimeout = std::chrono::seconds(2);
 
   base::Random random_;
   std::vector<Member> members_;
-  std::set<base::NodeId> silent_;
-  FetchScheduler plan_;
+  std::set<base::NodeId> unresponsive_;
+  FetchScheduler scheduler_;
 };
 
-TEST_CASE("a node that is behind asks others beside a silent one") {
+TEST_CASE(
+    "a node that lacks a revision tries peers in parallel with an unresponsive "
+    "one") {
   base::Random random(1);
   const std::vector<Member> members = MakeMembers(8, random);
   const base::Instant start = base::Instant() + std::chrono::seconds(10);
-  FetchScheduler plan;
-  plan.SetMembers(Member(), members);
-  const auto ask = [&](base::Duration at) {
-    return plan.SelectPeerWithNewer(kHeld, start + at, random);
+  FetchScheduler scheduler;
+  scheduler.SetMembers(Member(), members);
+  const auto select = [&](base::Duration at) {
+    return scheduler.SelectPeerWithNewer(kLocal, start + at, random);
   };
 
-  SECTION("nobody while nothing newer is known") {
-    plan.OnRevisionReported(kHeld, members[0]);
-    CHECK(ask({}) == nullptr);
+  SECTION("none while no newer revision is known") {
+    scheduler.OnRevisionReported(kLocal, members[0]);
+    CHECK(select({}) == nullptr);
   }
-  SECTION("the one that told first, then others, one after the other") {
-    plan.OnRevisionReported(kNew, members[0]);
-    CHECK(ask({})->id == members[0].id);
-    for (int asked = 1; asked < FetchScheduler::kMaxConcurrentFetches;
-         ++asked) {
-      const auto due = FetchScheduler::kFirstByteHedgeDelay * asked;
-      CHECK(ask(due - milliseconds(1)) == nullptr);
-      CHECK(plan.NextSelectionAt(kHeld) == start + due);
-      REQUIRE(ask(due));
+  SECTION("first the reporting peer, then others at intervals") {
+    scheduler.OnRevisionReported(kNew, members[0]);
+    CHECK(select({})->id == members[0].id);
+    for (int peer = 1; peer < FetchScheduler::kMaxConcurrentFetches; ++peer) {
+      const auto due = FetchScheduler::kFirstByteHedgeDelay * peer;
+      CHECK(select(due - milliseconds(1)) == nullptr);
+      CHECK(scheduler.NextSelectionAt(kLocal) == start + due);
+      REQUIRE(select(due));
     }
 
-    SECTION("and no more than are allowed at once") {
-      CHECK(ask(std::chrono::hours(1)) == nullptr);
-      CHECK(plan.NextSelectionAt(kHeld) == base::Instant::max());
+    SECTION("up to the limit of concurrent fetches") {
+      CHECK(select(std::chrono::hours(1)) == nullptr);
+      CHECK(scheduler.NextSelectionAt(kLocal) == base::Instant::max());
     }
-    SECTION("one more once one failed") {
-      plan.OnFailed(members[0].id);
-      plan.OnRevisionReported(kNew, members[1]);
-      CHECK(ask(std::chrono::seconds(4)));
+    SECTION("one more after one has failed") {
+      scheduler.OnFailed(members[0].id);
+      scheduler.OnRevisionReported(kNew, members[1]);
+      CHECK(select(std::chrono::seconds(4)));
     }
   }
-  SECTION("nobody else while an answer arrives") {
-    plan.OnRevisionReported(kNew, members[0]);
-    REQUIRE(ask({}));
-    plan.OnTransferStarted(members[0].id, start + milliseconds(150));
-    CHECK(ask(milliseconds(1149)) == nullptr);
-    CHECK(ask(milliseconds(1150)));
+  SECTION("none during a transfer, until the transfer takes too long") {
+    scheduler.OnRevisionReported(kNew, members[0]);
+    REQUIRE(select({}));
+    scheduler.OnTransferStarted(members[0].id, start + milliseconds(150));
+    CHECK(select(milliseconds(1149)) == nullptr);
+    CHECK(select(milliseconds(1150)));
   }
-  SECTION("at once, whoever was asked before there was news") {
-    REQUIRE(plan.SelectAnyPeer(start, random));
-    plan.OnRevisionReported(kNew, members[0]);
-    plan.OnRevisionReported(kNew, members[1]);
-    CHECK(ask(milliseconds(1)));
+  SECTION(
+      "immediately, even if a fetch was pending before the revision was "
+      "reported") {
+    REQUIRE(scheduler.SelectAnyPeer(start, random));
+    scheduler.OnRevisionReported(kNew, members[0]);
+    scheduler.OnRevisionReported(kNew, members[1]);
+    CHECK(select(milliseconds(1)));
   }
-  SECTION("at once for the next revision, though a silent one is still asked") {
-    plan.OnRevisionReported(kNew, members[0]);
-    REQUIRE(ask({}));
-    REQUIRE(ask(milliseconds(200)));
-    plan.OnResponse(members[1].id, kNew, kNew, start + milliseconds(210));
-    plan.OnRevisionReported(kNew + 1, members[2]);
-    CHECK(plan.SelectPeerWithNewer(kNew, start + milliseconds(220), random));
+  SECTION(
+      "immediately for the next revision, despite a pending fetch of this "
+      "one") {
+    scheduler.OnRevisionReported(kNew, members[0]);
+    REQUIRE(select({}));
+    REQUIRE(select(milliseconds(200)));
+    scheduler.OnResponse(members[1].id, kNew, kNew, start + milliseconds(210));
+    scheduler.OnRevisionReported(kNew + 1, members[2]);
+    CHECK(
+        scheduler.SelectPeerWithNewer(kNew, start + milliseconds(220), random));
   }
-  SECTION("at once, if the one that told is being asked since before") {
-    const base::NodeId asked = plan.SelectAnyPeer(start, random)->id;
-    const auto teller = std::ranges::find(members, asked, &Member::id);
-    plan.OnRevisionReported(kNew, *teller);
-    const Member* next = ask(milliseconds(1));
+  SECTION(
+      "immediately, if a fetch from the reporting peer was already pending") {
+    const base::NodeId peer = scheduler.SelectAnyPeer(start, random)->id;
+    const auto reporter = std::ranges::find(members, peer, &Member::id);
+    scheduler.OnRevisionReported(kNew, *reporter);
+    const Member* next = select(milliseconds(1));
     REQUIRE(next);
-    CHECK(next->id != asked);
+    CHECK(next->id != peer);
 
-    SECTION("and its late answer of before does not undo what it told") {
-      plan.OnResponse(asked, kHeld, kHeld, start + milliseconds(2));
-      CHECK(plan.GreatestReportedRevision() == kNew);
+    SECTION("whose outdated response does not replace the reported revision") {
+      scheduler.OnResponse(peer, kLocal, kLocal, start + milliseconds(2));
+      CHECK(scheduler.GreatestReportedRevision() == kNew);
     }
   }
-  SECTION("nobody for what an answer has denied") {
-    plan.OnRevisionReported(kNew, members[0]);
-    REQUIRE(ask({}));
-    plan.OnResponse(members[0].id, kHeld, kHeld, start);
-    CHECK(ask(std::chrono::hours(1)) == nullptr);
+  SECTION(
+      "none, if the response shows that the peer does not hold the revision") {
+    scheduler.OnRevisionReported(kNew, members[0]);
+    REQUIRE(select({}));
+    scheduler.OnResponse(members[0].id, kLocal, kLocal, start);
+    CHECK(select(std::chrono::hours(1)) == nullptr);
   }
-  SECTION("again in a while, if an answer lacked a part") {
-    plan.OnRevisionReported(kNew, members[0]);
-    REQUIRE(ask({}));
-    plan.OnResponse(members[0].id, kNew, kHeld, start);
-    CHECK(ask(milliseconds(199)) == nullptr);
-    CHECK(ask(milliseconds(200)));
+  SECTION("the peer again after a delay, if its response was incomplete") {
+    scheduler.OnRevisionReported(kNew, members[0]);
+    REQUIRE(select({}));
+    scheduler.OnResponse(members[0].id, kNew, kLocal, start);
+    CHECK(select(milliseconds(199)) == nullptr);
+    CHECK(select(milliseconds(200)));
   }
-  SECTION("another one at once, if one fails") {
-    plan.OnRevisionReported(kNew, members[0]);
-    plan.OnRevisionReported(kNew, members[1]);
-    const base::NodeId first = ask({})->id;
-    plan.OnFailed(first);
-    CHECK(ask(milliseconds(1))->id != first);
+  SECTION("another peer immediately, if one fails") {
+    scheduler.OnRevisionReported(kNew, members[0]);
+    scheduler.OnRevisionReported(kNew, members[1]);
+    const base::NodeId first = select({})->id;
+    scheduler.OnFailed(first);
+    CHECK(select(milliseconds(1))->id != first);
   }
 }
 
-TEST_CASE("silent nodes delay a revision by less than the time it is given") {
+TEST_CASE("the delay by unresponsive peers is bounded") {
   const size_t nodes = GENERATE(11, 295, 3000);
   std::vector<base::Duration> times;
   for (int seed = 1; seed <= 200; ++seed)
-    times.push_back(SilentFleet(nodes, 0.1, seed).TimeToTake(1));
+    times.push_back(UnresponsiveFleet(nodes, 0.1, seed).MeasureFetchTime(1));
   std::ranges::sort(times);
   CHECK(times[times.size() / 2] == FetchScheduler::kFirstByteHedgeDelay);
   CHECK(times.back() <= FetchScheduler::kFirstByteHedgeDelay *
--- a/tests/auto/configuration/head_test.cc
+++ b/tests/auto/configuration/head_test.cc
@@ -1,4 +1,4 @@
-// The head in the store: what it keeps, and what it can tell of the past.
+// Encoding and history of the head in the store.
 #include "configuration/head.h"
 
 #include <catch2/catch.hpp>
@@ -20,11 +20,11 @@
   return NextHead(base, MakeManifest(texts), entry);
 }
 
-TEST_CASE("a head is written and read") {
+TEST_CASE("a head is encoded and decoded") {
   const Head first = Confirm({}, {{"a", "1"}, {"b", "1"}});
   const Head second = Confirm(first, {{"a", "2"}, {"c", "1"}});
 
-  SECTION("it reads as it was written") {
+  SECTION("without loss") {
     const auto read = Head::FromJson(second.ToJson());
     REQUIRE(read);
     CHECK(read->revision == 2);
@@ -32,7 +32,7 @@
     CHECK(read->history == second.history);
   }
 
-  SECTION("fields of a newer version survive a confirmation by this one") {
+  SECTION("preserving fields of a newer version over a confirmation") {
     std::string text = first.ToJson();
     text.insert(1, "\"zones\": {\"x\": [1, 2]}, ");
     text.insert(text.find("\"plan\""), "\"reason\": \"flood\", ");
@@ -43,7 +43,7 @@
     CHECK(written.find("\"reason\":\"flood\"") != std::string::npos);
   }
 
-  SECTION("something else is not taken for a head") {
+  SECTION("rejecting anything that is not a head") {
     for (const char* text :
          {"", "[]", "{}", "{\"revision\": \"7\", \"manifest\": {}}",
           "{\"revision\": 7, \"manifest\": {\"a\": 1}}",
@@ -52,14 +52,15 @@
     }
   }
 
-  SECTION("an earlier manifest is worked back") {
+  SECTION("an earlier manifest is reconstructed") {
     CHECK(ManifestAt(second, 2) == second.manifest);
     CHECK(ManifestAt(second, 1) == first.manifest);
     CHECK(ManifestAt(second, 0) == Manifest{});
     CHECK_FALSE(ManifestAt(second, 3));
   }
 
-  SECTION("what changed since is told per key, by whom and when") {
+  SECTION(
+      "changes since a revision are listed per key, with operator and time") {
     const DeclarationTexts before = {{"a", "[s]\nx = 1\ny = 1\n"}};
     const DeclarationTexts after = {{"a", "[s]\nx = 2\nz = 1\n"}};
     const Head one = Confirm({}, before);
@@ -82,7 +83,7 @@
   }
 }
 
-TEST_CASE("a head stays small however many confirmations there were") {
+TEST_CASE("the size of a head is bounded") {
   DeclarationTexts texts;
   for (int service = 0; service < 200; ++service)
     texts["service-" + std::to_string(service)] = "0";
@@ -100,7 +101,7 @@
   CHECK(head.ToJson().size() < 100 * 1024);
 }
 
-TEST_CASE("a plan names its base") {
+TEST_CASE("a plan identifier contains its base revision") {
   const DeclarationTexts texts = {{"a", "1"}};
   CHECK(BaseRevision(PlanId(17, texts)) == 17);
   CHECK(PlanId(17, texts) != PlanId(17, {{"a", "2"}}));
--- a/tests/auto/configuration/held_configuration_test.cc
+++ b/tests/auto/configuration/held_configuration_test.cc
@@ -1,4 +1,5 @@
-// What a node takes into force, whatever reaches it in whatever order.
+// The local configuration under updates in any order. Guards against going back
+// to an older revision and against applying an incomplete one.
 #include "configuration/local_configuration.h"
 
 #include <rapidcheck/catch.h>
@@ -30,9 +31,8 @@
   return MakeDocuments({{"a", Text(revision)}, {"fixed", "fixed"}});
 }
 
-// Takes whatever has all its documents, as a node would that trusts each
-// source to know best.
-class Credulous {
+// Faulty implementation that applies every update.
+class AlwaysApplying {
  public:
   ApplyResult Apply(const Head& head, const Documents&) {
     head_ = head;
@@ -44,12 +44,12 @@
   Head head_;
 };
 
-// Offers revisions in the order of `offered`; false if one went back.
-template <typename Held>
-bool NeverGoesBack(const std::vector<int>& offered) {
-  Held local;
+// Applies `revisions` in order; returns false if the revision ever decreased.
+template <typename Configuration>
+bool NeverDecreases(const std::vector<int>& revisions) {
+  Configuration local;
   uint64_t greatest = 0;
-  for (const int revision : offered) {
+  for (const int revision : revisions) {
     const auto number = static_cast<uint64_t>(revision);
     local.Apply(MakeHead(number), DocumentsOf(number));
     greatest = std::max(greatest, number);
@@ -59,16 +59,16 @@
   return true;
 }
 
-TEST_CASE("a revision never goes back") {
-  rc::prop("whatever the order of the offers", [] {
-    const auto offered =
+TEST_CASE("the revision never decreases") {
+  rc::prop("in any order of updates", [] {
+    const auto revisions =
         *rc::gen::container<std::vector<int>>(rc::gen::inRange(1, kRevisions));
-    RC_ASSERT(NeverGoesBack<LocalConfiguration>(offered));
+    RC_ASSERT(NeverDecreases<LocalConfiguration>(revisions));
   });
-  CHECK_FALSE(NeverGoesBack<Credulous>({3, 2}));
+  CHECK_FALSE(NeverDecreases<AlwaysApplying>({3, 2}));
 }
 
-TEST_CASE("only a whole configuration is taken") {
+TEST_CASE("only a complete configuration is applied") {
   LocalConfiguration local;
   REQUIRE(local.Apply(MakeHead(1), DocumentsOf(1)) == ApplyResult::kApplied);
   CHECK(local.Apply(MakeHead(1), DocumentsOf(1)) == ApplyResult::kNotNewer);
@@ -79,30 +79,30 @@
   CHECK(local.Apply(MakeHead(2), DocumentsOf(2)) == ApplyResult::kApplied);
 }
 
-TEST_CASE("a node fetches from another what it lacks") {
+TEST_CASE("a fetch returns what the requesting node lacks") {
   LocalConfiguration newer;
   newer.Apply(MakeHead(5), DocumentsOf(5));
   PackedDocumentCache packed;
 
-  SECTION("only the documents that changed since") {
-    const FetchResponse answer = MakeFetchResponse({4}, newer, packed);
-    CHECK(answer.packed.size() == 1);
+  SECTION("only the changed documents") {
+    const FetchResponse response = MakeFetchResponse({4}, newer, packed);
+    CHECK(response.packed.size() == 1);
     LocalConfiguration older;
     older.Apply(MakeHead(4), DocumentsOf(4));
-    const auto read = FetchResponse::FromJson(answer.ToJson());
+    const auto read = FetchResponse::FromJson(response.ToJson());
     REQUIRE(read);
     CHECK(older.Apply(*read->head, read->documents) == ApplyResult::kApplied);
   }
-  SECTION("all of them if it has nothing") {
+  SECTION("all documents if it has none") {
     CHECK(MakeFetchResponse({0}, newer, packed).packed.size() == 2);
   }
-  SECTION("nothing but the revision if it is as new") {
-    const FetchResponse answer = MakeFetchResponse({5}, newer, packed);
-    CHECK(answer.revision == 5);
-    CHECK_FALSE(answer.head);
-    CHECK(answer.ToJson().size() < 30);
+  SECTION("only the revision if it is up to date") {
+    const FetchResponse response = MakeFetchResponse({5}, newer, packed);
+    CHECK(response.revision == 5);
+    CHECK_FALSE(response.head);
+    CHECK(response.ToJson().size() < 30);
   }
-  SECTION("a malformed message is refused") {
+  SECTION("a malformed message is rejected") {
     CHECK_FALSE(FetchRequest::FromJson("{\"have\": -1}"));
     CHECK_FALSE(FetchRequest::FromJson("[]"));
     CHECK_FALSE(FetchResponse::FromJson("{\"revision\": 1, \"head\": 7}"));
--- a/tests/auto/configuration/packed_documents_test.cc
+++ b/tests/auto/configuration/packed_documents_test.cc
@@ -1,4 +1,4 @@
-// Documents on their way between nodes.
+// Packing of documents that are sent between nodes.
 #include "configuration/packed_document_cache.h"
 
 #include <catch2/catch.hpp>
@@ -9,7 +9,7 @@
 namespace chestnutport::configuration {
 namespace {
 
-// As an operator's document with many routes.
+// Resembles a document with many routes.
 std::string ManyRoutes() {
   std::string text;
   for (int i = 0; i < 1400; ++i) {
@@ -21,7 +21,7 @@
   return text;
 }
 
-TEST_CASE("a document comes back as it was, and travels in a fraction") {
+TEST_CASE("a document is packed without loss and compressed") {
   const std::string text = GENERATE(std::string(), std::string("short"),
                                     std::string("\0\1\xff", 3), ManyRoutes());
   const std::string packed = PackDocument(text);
@@ -30,7 +30,7 @@
     CHECK(packed.size() < text.size() / 4);
 }
 
-TEST_CASE("what was not packed is not taken") {
+TEST_CASE("malformed packed documents are rejected") {
   const std::string packed = PackDocument(ManyRoutes());
   for (const std::string& bad :
        {std::string(), std::string("text"), std::string("5:"),
@@ -41,7 +41,7 @@
   }
 }
 
-TEST_CASE("a fetched configuration is whole") {
+TEST_CASE("a fetched configuration is complete") {
   const declarations::DeclarationTexts texts = {{"one", ManyRoutes()}};
   Head head;
   head.revision = 7;
@@ -49,15 +49,15 @@
   LocalConfiguration local;
   REQUIRE(local.Apply(head, MakeDocuments(texts)) == ApplyResult::kApplied);
   PackedDocumentCache packed;
-  const FetchResponse answer = MakeFetchResponse({0}, local, packed);
-  const std::string text = answer.ToJson();
+  const FetchResponse response = MakeFetchResponse({0}, local, packed);
+  const std::string text = response.ToJson();
   CHECK(text.size() < ManyRoutes().size() / 4);
   const auto read = FetchResponse::FromJson(text);
   REQUIRE(read);
   LocalConfiguration other;
   CHECK(other.Apply(*read->head, read->documents) == ApplyResult::kApplied);
 
-  SECTION("and packed once, whoever asks") {
+  SECTION("and is packed once for all requests") {
     MakeFetchResponse({0}, local, packed);
     CHECK(packed.size() == 1);
     packed.RetainOnly({});
--- a/tests/auto/configuration/reader_test.cc
+++ b/tests/auto/configuration/reader_test.cc
@@ -1,4 +1,6 @@
-// Which nodes read the store, and how often.
+// Which nodes read the store, and how often. Guards against calls that grow
+// with the fleet, and against changes that are noticed too late when readers
+// lose the store.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <set>
@@ -30,23 +32,22 @@
   return readers;
 }
 
-// Readings of one reader in an hour of virtual time.
-int CountReadings(bool failing, bool alone, base::Random& random) {
-  ReadTiming pace;
+// Counts the reads of one reader in an hour of virtual time.
+int CountReads(bool failing, bool is_alone, base::Random& random) {
+  ReadTiming timing;
   base::Duration at = ReadTiming().FirstReadDelay(random);
-  int readings = 0;
-  for (; at < std::chrono::hours(1); ++readings)
-    at += pace.NextReadDelay(failing, alone, 1, random);
-  return readings;
+  int reads = 0;
+  for (; at < std::chrono::hours(1); ++reads)
+    at += timing.NextReadDelay(failing, is_alone, 1, random);
+  return reads;
 }
 
-TEST_CASE(
-    "of nodes that start together a few read at once, the others hear it") {
+TEST_CASE("of nodes that start together only a few read immediately") {
   base::Random random(1);
-  const ReadTiming pace;
+  const ReadTiming timing;
   int early = 0;
   for (int node = 0; node < 300; ++node) {
-    const base::Duration wait = pace.FirstReadDelay(random);
+    const base::Duration wait = timing.FirstReadDelay(random);
     CHECK(wait <= kFirstReadJitter);
     early += wait < kFirstReadJitter / 4 ? 1 : 0;
   }
@@ -54,10 +55,10 @@
   CHECK(early <= 15);
 }
 
-// How long it takes at most until one of a fleet's readers reads again, if all
-// lose their watches just after these began.
-base::Duration FoundOutAfter(const std::vector<Member>& members,
-                             const ReadTiming& pace,
+// Returns the time until the first reader reads again, if all readers lose
+// their connections just after their watches began.
+base::Duration DetectionTime(const std::vector<Member>& members,
+                             const ReadTiming& timing,
                              base::Random& random) {
   base::Duration first = std::chrono::hours(1);
   for (const Member& member : members) {
@@ -66,7 +67,7 @@
     if (!role.is_reader() || member.state != membership::MemberState::kAlive)
       continue;
     const WatchDurations times =
-        pace.DrawWatch(role.has_short_watches(), random);
+        timing.DrawWatch(role.has_short_watches(), random);
     const base::Duration ends =
         times.wait + times.grace + ReadTiming::RereadDelay(random);
     first = std::min(first, ends);
@@ -74,45 +75,48 @@
   return first;
 }
 
-TEST_CASE("watches that all readers lose at once are found out in time") {
-  constexpr int kPlays = 100;
-  // Of the two seconds in which a change has to be in force; the rest is for
-  // the reading, and to tell the others.
-  constexpr std::chrono::milliseconds kForConfigurations(1500);
+TEST_CASE("the simultaneous loss of all watches is detected in time") {
+  constexpr int kTrials = 100;
+  // Of the two seconds within which a change has to be in force. The rest is
+  // left for the read and for the distribution to the other nodes.
+  constexpr std::chrono::milliseconds kMaxForConfigurations(1500);
   // Of five seconds.
-  constexpr std::chrono::milliseconds kForEvacuations(3000);
+  constexpr std::chrono::milliseconds kMaxForEvacuations(3000);
   base::Random random(1);
   for (const size_t nodes : {1, 2, 3, 11, 28, 300}) {
     for (const size_t data_centres : {1, 2, 4}) {
-      for (int play = 0; play < kPlays; ++play) {
+      for (int trial = 0; trial < kTrials; ++trial) {
         auto fleet = MakeFleet(nodes, data_centres, random);
-        CHECK(FoundOutAfter(fleet, ReadTiming(), random) <= kForConfigurations);
-        const ReadTiming pace(kMaxReadInterval, kMaxShortEvacuationWatch);
-        CHECK(FoundOutAfter(fleet, pace, random) <= kForEvacuations);
+        CHECK(DetectionTime(fleet, ReadTiming(), random) <=
+              kMaxForConfigurations);
+        const ReadTiming timing(kMaxReadInterval, kMaxShortEvacuationWatch);
+        CHECK(DetectionTime(fleet, timing, random) <= kMaxForEvacuations);
         if (nodes < 3)
           continue;
-        // Also beside the loss of a node, whichever it is.
-        fleet[play % nodes].state = membership::MemberState::kSuspected;
-        CHECK(FoundOutAfter(fleet, ReadTiming(), random) <= kForConfigurations);
+        // Also if any one node has failed.
+        fleet[trial % nodes].state = membership::MemberState::kSuspected;
+        CHECK(DetectionTime(fleet, ReadTiming(), random) <=
+              kMaxForConfigurations);
       }
     }
   }
 }
 
-TEST_CASE("two readers are alert, of different data centres") {
+TEST_CASE("two readers in different data centres have short watches") {
   base::Random random(2);
   for (const size_t data_centres : {1, 2, 3, 14}) {
     auto fleet = MakeFleet(30, data_centres, random);
-    std::set<std::string> alert;
+    std::set<std::string> short_watch_data_centres;
     for (const Member& member : fleet) {
       if (!ReaderSelection(fleet).IsShortWatchReader(member))
         continue;
       CHECK(ReaderSelection(fleet).IsReader(member));
-      CHECK(alert.insert(member.data_centre).second);
+      CHECK(short_watch_data_centres.insert(member.data_centre).second);
     }
-    CHECK(alert.size() == std::min(data_centres, kShortWatchReaders));
+    CHECK(short_watch_data_centres.size() ==
+          std::min(data_centres, kShortWatchReaders));
   }
-  SECTION("and who becomes one is told so, once") {
+  SECTION("a node that becomes one reads once") {
     auto fleet = MakeFleet(5, 1, random);
     const auto first = std::ranges::find_if(fleet, [&](const Member& member) {
       return ReaderSelection(fleet).IsShortWatchReader(member);
@@ -125,7 +129,7 @@
         count += roles[i].SetMembers(fleet[i], fleet) == ReadTrigger::kNewRole;
       return count;
     };
-    CHECK(count_new() == 0);  // Each took itself for one at its start.
+    CHECK(count_new() == 0);  // Each has the role from its start.
     first->state = membership::MemberState::kSuspected;
     CHECK(count_new() == 1);
     CHECK(count_new() == 0);
@@ -133,7 +137,7 @@
 }
 
 TEST_CASE(
-    "each node of a small fleet reads, two a data centre of a larger one") {
+    "each node of a small fleet reads, two per data centre of a larger one") {
   base::Random random(3);
   for (const size_t data_centres : {1, 2, 3, 4, 8}) {
     for (const size_t nodes :
@@ -146,14 +150,14 @@
   }
 }
 
-// All that read the store now have lost it.
+// Marks all current readers as having lost the store.
 void LoseStoreOfReaders(std::vector<Member>& members) {
   const std::vector<Member> before = members;
   for (Member& member : members)
     member.has_lost_store |= ReaderSelection(before).IsReader(member);
 }
 
-TEST_CASE("readers that have lost the store hand the duty on") {
+TEST_CASE("readers that have lost the store are replaced") {
   base::Random random(4);
   for (const size_t nodes : {40, 64, 300}) {
     for (const size_t data_centres : {1, 3, 14}) {
@@ -162,24 +166,24 @@
       const size_t readers = CountReaders(fleet);
       LoseStoreOfReaders(fleet);
 
-      const size_t trying = CountReaders(fleet);
-      CHECK(trying > readers);
-      const bool some_are_alert =
+      const size_t replacements = CountReaders(fleet);
+      CHECK(replacements > readers);
+      const bool has_short_watch_reader =
           std::ranges::any_of(fleet, [&](const Member& member) {
             return !member.has_lost_store &&
                    ReaderSelection(fleet).IsReader(member) &&
                    ReaderSelection(fleet).IsShortWatchReader(member);
           });
-      CHECK(some_are_alert);
+      CHECK(has_short_watch_reader);
 
-      // Also if these lose it in their turn, until no more may try.
+      // The replacements lose the store too, until no candidates are left.
       for (size_t round = 0; round < nodes; ++round)
         LoseStoreOfReaders(fleet);
       CHECK(CountReaders(fleet) >= std::min(nodes, kMaxReaderCandidates));
       CHECK(CountReaders(fleet) <=
             std::max(kMaxReaderCandidates, readers) + data_centres);
 
-      // And take it back.
+      // The first readers take over again when the store recovers.
       for (Member& member : fleet)
         member.has_lost_store = false;
       CHECK(CountReaders(fleet) == readers);
@@ -187,7 +191,7 @@
   }
 }
 
-TEST_CASE("a reader is told when to read at once") {
+TEST_CASE("a node reads immediately") {
   base::Random random(5);
   auto fleet = MakeFleet(40, 2, random);
   const auto role_of = [&](const Member& member) {
@@ -201,8 +205,8 @@
   const auto other = std::ranges::find_if(fleet, [&](const Member& member) {
     return !ReaderSelection(fleet).IsReaderCandidate(member);
   });
-  ReaderRole of_reader = role_of(*reader);
-  ReaderRole of_other = role_of(*other);
+  ReaderRole reader_role = role_of(*reader);
+  ReaderRole other_role = role_of(*other);
 
   const auto find_other = [&](bool has_short_watches) {
     return std::ranges::find_if(
@@ -214,23 +218,25 @@
         });
   };
 
-  SECTION("as an alert one has lost the store, once") {
+  SECTION("once, when a short-watch reader has lost the store") {
     const auto lost = find_other(true);
     lost->has_lost_store = true;
-    CHECK(of_reader.SetMembers(*reader, fleet) ==
+    CHECK(reader_role.SetMembers(*reader, fleet) ==
           ReadTrigger::kShortWatchReaderLostStore);
-    CHECK(of_reader.members_without_store() == 1);
-    CHECK(of_reader.SetMembers(*reader, fleet) == ReadTrigger::kNone);
+    CHECK(reader_role.members_without_store() == 1);
+    CHECK(reader_role.SetMembers(*reader, fleet) == ReadTrigger::kNone);
     lost->has_lost_store = false;
-    CHECK(of_reader.SetMembers(*reader, fleet) == ReadTrigger::kNone);
+    CHECK(reader_role.SetMembers(*reader, fleet) == ReadTrigger::kNone);
   }
-  SECTION("but not as another has, while the alert ones hear of each change") {
+  SECTION(
+      "not when another reader has, as the short-watch readers still get "
+      "changes") {
     const auto lost = find_other(false);
     lost->has_lost_store = true;
-    CHECK(of_reader.SetMembers(*reader, fleet) == ReadTrigger::kNone);
-    CHECK(of_reader.members_without_store() == 1);
+    CHECK(reader_role.SetMembers(*reader, fleet) == ReadTrigger::kNone);
+    CHECK(reader_role.members_without_store() == 1);
   }
-  SECTION("but not in a small fleet, where nobody could take its place") {
+  SECTION("not in a small fleet, where every node reads already") {
     auto small = MakeFleet(kSmallFleetSize, 2, random);
     ReaderRole role;
     (void)role.SetMembers(small[0], small);
@@ -239,62 +245,63 @@
     CHECK(role.SetMembers(small[0], small) !=
           ReadTrigger::kShortWatchReaderLostStore);
   }
-  SECTION("as it has become one in place of those that lost it") {
+  SECTION("when it replaces readers that have lost the store") {
     LoseStoreOfReaders(fleet);
     const auto next = std::ranges::find_if(fleet, [&](const Member& member) {
       return !member.has_lost_store && ReaderSelection(fleet).IsReader(member);
     });
-    ReaderRole of_next;
+    ReaderRole next_role;
     auto before = fleet;
     for (Member& member : before)
       member.has_lost_store = false;
-    (void)of_next.SetMembers(*next, before);
-    REQUIRE_FALSE(of_next.is_reader());
-    CHECK(of_next.SetMembers(*next, fleet) == ReadTrigger::kNewRole);
-    CHECK(of_next.is_reader());
+    (void)next_role.SetMembers(*next, before);
+    REQUIRE_FALSE(next_role.is_reader());
+    CHECK(next_role.SetMembers(*next, fleet) == ReadTrigger::kNewRole);
+    CHECK(next_role.is_reader());
   }
-  SECTION("as it may stand in for an alert one that has lost the store") {
-    const auto stand_in =
+  SECTION(
+      "when a short-watch reader has lost the store and it is a candidate") {
+    const auto candidate =
         std::ranges::find_if(fleet, [&](const Member& member) {
           return !ReaderSelection(fleet).IsReader(member) &&
                  ReaderSelection(fleet).IsReaderCandidate(member);
         });
-    ReaderRole of_stand_in = role_of(*stand_in);
+    ReaderRole candidate_role = role_of(*candidate);
     const auto lost = find_other(true);
     lost->has_lost_store = true;
-    if (!ReaderSelection(fleet).IsReader(*stand_in)) {
-      CHECK(of_stand_in.SetMembers(*stand_in, fleet) ==
+    if (!ReaderSelection(fleet).IsReader(*candidate)) {
+      CHECK(candidate_role.SetMembers(*candidate, fleet) ==
             ReadTrigger::kShortWatchReaderLostStore);
-      CHECK_FALSE(of_stand_in.is_reader());
+      CHECK_FALSE(candidate_role.is_reader());
     }
   }
-  SECTION("but not who may not stand in") {
-    REQUIRE_FALSE(of_other.is_reader());
+  SECTION("not if it is no candidate") {
+    REQUIRE_FALSE(other_role.is_reader());
     find_other(true)->has_lost_store = true;
-    CHECK(of_other.SetMembers(*other, fleet) == ReadTrigger::kNone);
+    CHECK(other_role.SetMembers(*other, fleet) == ReadTrigger::kNone);
   }
 }
 
-TEST_CASE("nodes that have all lost the store ask it seldom together") {
+TEST_CASE("the retry rate of all nodes that have lost the store is bounded") {
   base::Random random(6);
   for (const size_t failing : {1, 40, 400}) {
-    ReadTiming pace(std::chrono::seconds(1));
+    ReadTiming timing(std::chrono::seconds(1));
     base::Duration waited{};
     constexpr int kTries = 1000;
     for (int i = 0; i < kTries; ++i)
-      waited += pace.NextReadDelay(true, false, failing, random);
+      waited += timing.NextReadDelay(true, false, failing, random);
     const double tries_a_second = static_cast<double>(failing) * kTries /
                                   std::chrono::duration<double>(waited).count();
     CHECK(tries_a_second < 15);
   }
 }
 
-TEST_CASE("the fleet's readings do not grow with the fleet") {
+TEST_CASE("the number of readers does not grow with the fleet") {
   base::Random random(1);
   for (const size_t nodes : {28, 100, 3000}) {
     auto fleet = MakeFleet(nodes, 14, random);
     CHECK(CountReaders(fleet) == 14 * kReadersPerDataCentre);
-    SECTION("a reader that dies has a successor") {
+    SECTION("a reader that fails is replaced") {
       for (Member& member : fleet) {
         if (ReaderSelection(fleet).IsReader(member)) {
           member.state = membership::MemberState::kSuspected;
@@ -304,14 +311,14 @@
       CHECK(CountReaders(fleet) >= 14 * kReadersPerDataCentre);
     }
   }
-  SECTION("a healthy reader makes at most a reading a second") {
-    const int readings = CountReadings(false, false, random);
-    CHECK(readings <= 3601);
-    CHECK(readings >= 3100);
+  SECTION("a healthy reader reads at most once a second") {
+    const int reads = CountReads(false, false, random);
+    CHECK(reads <= 3601);
+    CHECK(reads >= 3100);
   }
-  SECTION("a failing one, or one that knows of no other, far fewer") {
-    CHECK(CountReadings(true, false, random) < 3600 / 10);
-    CHECK(CountReadings(false, true, random) < 3600 / 10);
+  SECTION("a reader that fails or knows no other node reads far less often") {
+    CHECK(CountReads(true, false, random) < 3600 / 10);
+    CHECK(CountReads(false, true, random) < 3600 / 10);
   }
 }
 
--- a/tests/auto/configuration/repair_test.cc
+++ b/tests/auto/configuration/repair_test.cc
@@ -1,4 +1,4 @@
-// A store that was brought back from an older copy.
+// Repair of a store that was restored from an older backup.
 #include "configuration/repair.h"
 
 #include <catch2/catch.hpp>
@@ -13,22 +13,24 @@
                   {.plan_id = plan, .confirmed_at = at});
 }
 
-TEST_CASE("a store brought back from an older copy") {
+TEST_CASE("a store restored from an older backup") {
   const Head one = Confirm({}, "one", "t1");
   const Head two = Confirm(one, "two", "t2");
   const Head three = Confirm(two, "three", "t3");
 
-  SECTION("is left alone if it is as new, or if the node has nothing") {
+  SECTION(
+      "is not changed if it is up to date, or if the node has no "
+      "configuration") {
     CHECK_FALSE(RepairStore(three, three));
     CHECK_FALSE(RepairStore(three, two));
     CHECK_FALSE(RepairStore({}, {}));
   }
-  SECTION("gets the newer head back, also if it is empty") {
+  SECTION("gets the newer head, even if it is empty") {
     CHECK(RepairStore(one, three)->revision == 3);
     CHECK(RepairStore({}, three)->manifest == three.manifest);
     CHECK(RepairStore({}, three)->history == three.history);
   }
-  SECTION("keeps in the history what was confirmed on the copy") {
+  SECTION("keeps confirmations made after the restore in the history") {
     const Head other = Confirm(one, "other", "t4");
     const auto repaired = RepairStore(other, three);
     REQUIRE(repaired);
@@ -38,7 +40,9 @@
     CHECK(repaired->history.size() == 4);
     CHECK(repaired->LastConfirmation()->plan_id == "three");
   }
-  SECTION("of two heads of one revision the later stands, as the next") {
+  SECTION(
+      "gets the later one of two heads of the same revision, as the next "
+      "revision") {
     const Head other = Confirm(two, "other", "t4");
     for (const auto& [stored, local] :
          {std::pair(other, three), std::pair(three, other)}) {
