--- a/src/libs/store/etcd_protocol.cc
+++ b/src/libs/store/etcd_protocol.cc
@@ -25,7 +25,7 @@
   return plain;
 }
 
-// The protocol writes 64-bit numbers as strings and leaves zeros out.
+// The protocol encodes 64-bit numbers as strings and omits zeros.
 int64_t Number(const json& object, const char* name) {
   int64_t number = 0;
   const auto found = object.find(name);
@@ -36,13 +36,13 @@
   return found->is_number_integer() ? found->get<int64_t>() : 0;
 }
 
-// One past the last key with this prefix.
+// Returns the end of the key range with this prefix, exclusive.
 std::string PrefixEnd(std::string prefix) {
   prefix.back() = static_cast<char>(prefix.back() + 1);
   return prefix;
 }
 
-// Empty for anything but a text.
+// Returns an empty string if the member is missing or not a string.
 std::string Text(const json& object, const char* name) {
   const auto found = object.find(name);
   if (found == object.end() || !found->is_string())
@@ -57,7 +57,8 @@
           .body = body.dump()};
 }
 
-// Nothing for an answer that the protocol does not know.
+// Returns null if the status is not 200, and a discarded value if the body is
+// not JSON.
 json Parse(const net::HttpAnswer& answer) {
   if (answer.status != kOk)
     return nullptr;
@@ -124,7 +125,7 @@
   const json body = Parse(answer);
   if (!body.is_object())
     return make_error_code(ErrorKind::kStoreOutcomeUnknown);
-  // The protocol leaves false out.
+  // The protocol omits false.
   const auto succeeded = body.find("succeeded");
   if (succeeded == body.end())
     return false;
--- a/src/libs/store/etcd_protocol.h
+++ b/src/libs/store/etcd_protocol.h
@@ -1,5 +1,5 @@
-// The JSON form of the etcd v3 protocol: /v3/kv/range, /v3/kv/txn,
-// /v3/lease/grant and /v3/lease/keepalive. Its watches are not used.
+// The etcd v3 protocol in JSON: /v3/kv/range, /v3/kv/txn, /v3/lease/grant and
+// /v3/lease/keepalive. Watches are not supported.
 #ifndef STORE_ETCD_PROTOCOL_H_
 #define STORE_ETCD_PROTOCOL_H_
 
--- a/src/libs/store/store_call_counts.h
+++ b/src/libs/store/store_call_counts.h
@@ -1,5 +1,5 @@
-// Calls to the store by kind and result, for its price and for engineers on
-// call.
+// Counts the calls to the store by kind and result, for the cost of the store
+// and for operations.
 #ifndef STORE_STORE_CALL_COUNTS_H_
 #define STORE_STORE_CALL_COUNTS_H_
 
@@ -17,7 +17,8 @@
 
 enum class CallResult {
   kAnswered,
-  kRefused,   // The store is over its rate, or down: nothing was done.
+  kRefused,   // The store is over its rate limit or unavailable; nothing was
+              // done.
   kNoAnswer,  // A write may have taken effect.
 };
 inline constexpr std::array kCallResults = {
--- a/src/libs/store/store_client.cc
+++ b/src/libs/store/store_client.cc
@@ -146,7 +146,7 @@
       addresses_[current_], std::move(request), timeout,
       [this, kind, handler = std::move(handler)](net::TransferResult result) {
         if (result.end == net::TransferEnd::kComplete) {
-          // A store that refuses for the moment is tried elsewhere.
+          // The next call goes to another address if this one refuses calls.
           const bool is_refused = result.answer.status >= kTooManyRequests;
           calls_.Add(kind,
                      is_refused ? CallResult::kRefused : CallResult::kAnswered);
--- a/src/libs/store/store_client.h
+++ b/src/libs/store/store_client.h
@@ -1,4 +1,4 @@
-// The client of the platform's key-value service, whatever its form.
+// Client of the platform's key-value store, independent of its protocol.
 #ifndef STORE_STORE_CLIENT_H_
 #define STORE_STORE_CLIENT_H_
 
@@ -18,15 +18,16 @@
 
 namespace chestnutport::store {
 
-// Calls one of the store's addresses, the next after a failure. For the
-// thread of the client's loop only. Errors: kStoreUnavailable if nothing was
-// done, kStoreOutcomeUnknown if a write may have taken effect.
+// Calls one of the store's addresses, and switches to the next one after a
+// failure. Used only on the thread of the HTTP client's event loop. Errors:
+// kStoreUnavailable if nothing was done, kStoreOutcomeUnknown if a write may
+// have taken effect.
 class StoreClient {
  public:
   using EntriesHandler =
       std::function<void(base::Result<std::vector<StoreEntry>>)>;
   using PageHandler = std::function<void(base::Result<StorePage>)>;
-  // True if the write took place, false if the revision was another.
+  // True if the write took effect, false if the revision did not match.
   using SwapHandler = std::function<void(base::Result<bool>)>;
   using LeaseHandler = std::function<void(base::Result<LeaseId>)>;
   using ChangesHandler = std::function<void(base::Result<StoreChanges>)>;
@@ -37,41 +38,43 @@
               std::chrono::milliseconds timeout,
               AnyStoreProtocol form = AnyStoreProtocol::Of(EtcdProtocol()));
 
-  // All entries whose key begins with `prefix`, in the order of the keys.
+  // Lists all entries whose keys begin with `prefix`, in the order of the keys.
   void ListPrefix(const std::string& prefix,
                   Freshness freshness,
                   EntriesHandler handler);
-  // The same of now, with the store's revision of the first part of it.
+  // The same, never stale, and with the store's revision at the first page.
   void ListPage(const std::string& prefix, PageHandler handler);
-  // The entry of `key`: one, or none.
+  // Reads the entry of `key`. The result is empty if there is none.
   void Read(const std::string& key, EntriesHandler handler);
   // The same, with the store's revision.
   void ReadPage(const std::string& key, PageHandler handler);
-  // Writes `value` if the key's revision is `expected`; zero: no such key.
+  // Writes `value` if the key's revision is `expected`; zero if the key must
+  // not exist.
   void CompareAndSwap(const std::string& key,
                       int64_t expected,
                       const std::string& value,
                       LeaseId lease,
                       SwapHandler handler);
-  // A lease that ends `time_to_live` after it was last kept alive.
+  // Grants a lease that expires `time_to_live` after the last KeepAlive().
   void GrantLease(std::chrono::milliseconds time_to_live, LeaseHandler handler);
-  // False if the lease has ended.
+  // The result is false if the lease has expired.
   void KeepAlive(LeaseId lease, SwapHandler handler);
-  // Whether the form knows of watches; if not, changes are found by reading.
+  // Whether the protocol supports watches. Otherwise changes are found by
+  // polling.
   bool CanWatch() const { return form_.can_watch; }
-  // Whether listings that may be old count toward the store's rate; if not,
-  // any number of nodes may ask for them at once.
+  // Whether listings that may be stale count towards the store's rate limit. If
+  // not, any number of nodes may request them at once.
   bool CountsStaleListings() const { return form_.counts_stale_listings; }
-  // Changes of keys that begin with `prefix` after the revision `after`, as
-  // soon as there are any; none after `wait`. An error if no answer came
-  // `patience` later.
+  // Waits up to `wait` for changes of keys that begin with `prefix` after the
+  // revision `after`. The result has none if nothing changed. Fails if there is
+  // no response within `wait` and `grace`.
   void Watch(const std::string& prefix,
              int64_t after,
              std::chrono::milliseconds wait,
              std::chrono::milliseconds grace,
              ChangesHandler handler);
 
-  // Calls that have ended.
+  // Counts the calls that have ended.
   const StoreCallCounts& calls() const { return calls_; }
 
  private:
--- a/src/libs/store/store_connections.cc
+++ b/src/libs/store/store_connections.cc
@@ -3,14 +3,14 @@
 namespace chestnutport::store {
 namespace {
 
-constexpr std::chrono::seconds kLongestSilence(1);
+constexpr std::chrono::seconds kMaxIdle(1);
 
 }  // namespace
 
 net::HttpClientOptions StoreConnections() {
   net::HttpClientOptions options;
-  options.tcp.keepalive_idle = kLongestSilence;
-  options.longest_idle = kLongestSilence;
+  options.tcp.keepalive_idle = kMaxIdle;
+  options.longest_idle = kMaxIdle;
   return options;
 }
 
--- a/src/libs/store/store_connections.h
+++ b/src/libs/store/store_connections.h
@@ -1,4 +1,4 @@
-// The connections to the platform's store.
+// Connection options for the platform's store.
 #ifndef STORE_STORE_CONNECTIONS_H_
 #define STORE_STORE_CONNECTIONS_H_
 
@@ -6,9 +6,10 @@
 
 namespace chestnutport::store {
 
-// A watch waits for seconds on a connection on which nothing comes: whether the
-// other end is still there is asked each second. One that was idle for longer
-// is not used again, as it may have gone silent since.
+// Returns the options for connections to the store. A watch is idle for
+// seconds, so TCP keep-alive probes start after one second to detect a lost
+// connection. A connection that was idle for longer is not reused, as it may
+// have been lost.
 net::HttpClientOptions StoreConnections();
 
 }  // namespace chestnutport::store
--- a/src/libs/store/store_entry.h
+++ b/src/libs/store/store_entry.h
@@ -1,4 +1,4 @@
-// An entry of the platform's key-value service.
+// Entries of the platform's key-value store.
 #ifndef STORE_STORE_ENTRY_H_
 #define STORE_STORE_ENTRY_H_
 
@@ -10,30 +10,30 @@
 
 struct StoreEntry {
   std::string key;
-  std::string value;     // Empty also if it could not be read.
-  int64_t revision = 0;  // Of the entry's last change; zero: no such key.
+  std::string value;     // Also empty if it could not be decoded.
+  int64_t revision = 0;  // Of the last change; zero if the key does not exist.
 };
 
-// A part of a listing.
+// A page of a listing.
 struct StorePage {
   std::vector<StoreEntry> entries;
-  int without_key = 0;  // Entries that were left out for it.
+  int without_key = 0;  // Entries omitted because their keys are unreadable.
   bool has_more = false;
-  int64_t as_of = 0;  // The store's revision; zero: it was not said.
+  int64_t as_of = 0;  // The store's revision; zero if unknown.
 };
 
-// What happened to the keys with a prefix.
+// Changes of the keys with a prefix.
 struct StoreChanges {
-  std::vector<StoreEntry> changed;  // As written, in order.
-  int removed = 0;                  // Keys that were there before.
-  int64_t as_of = 0;                // Where to go on from.
-  bool changes_missed = false;      // Changes were missed: list again.
+  std::vector<StoreEntry> changed;  // In the order of the writes.
+  int removed = 0;                  // Number of keys deleted.
+  int64_t as_of = 0;                // Where the next watch starts.
+  bool changes_missed = false;      // The keys have to be listed again.
 };
 
-// Whether a listing has to be of now: one that may be seconds old is cheaper.
+// Whether a listing may be stale. One that may be seconds old is cheaper.
 enum class Freshness { kLatest, kMayBeStale };
 
-using LeaseId = int64_t;  // Zero: no lease.
+using LeaseId = int64_t;  // Zero means no lease.
 
 }  // namespace chestnutport::store
 
--- a/src/libs/store/store_protocol.h
+++ b/src/libs/store/store_protocol.h
@@ -1,4 +1,4 @@
-// The form of a key-value service: how calls are written and answers read.
+// The protocol of a key-value store: encodes requests and parses responses.
 #ifndef STORE_STORE_PROTOCOL_H_
 #define STORE_STORE_PROTOCOL_H_
 
@@ -13,7 +13,8 @@
 
 namespace chestnutport::store {
 
-// A write of one key, if the key's revision is `expected` (zero: no such key).
+// A conditional write of one key: takes effect if the key's revision is
+// `expected`, or if the key does not exist and `expected` is zero.
 struct StoreSwap {
   std::string key;
   int64_t expected = 0;
@@ -21,8 +22,9 @@
   LeaseId lease = 0;
 };
 
-// Every answer is given with its status. Reading gives kStoreUnavailable if
-// nothing was done, and kStoreOutcomeUnknown if a write may have taken effect.
+// The Parse functions are called with complete responses of any status. They
+// return kStoreUnavailable if nothing was done, and kStoreOutcomeUnknown if a
+// write may have taken effect.
 template <typename Form>
 concept StoreProtocol = requires(const Form& form,
                                  const std::string& text,
@@ -31,13 +33,13 @@
                                  std::chrono::milliseconds time,
                                  int64_t revision,
                                  const net::HttpAnswer& answer) {
-  // The entries whose keys begin with a prefix, after a key (empty: from the
-  // first on).
+  // Lists the entries whose keys begin with a prefix and follow a key. An empty
+  // key starts with the first entry.
   {
     form.List(text, text, Freshness::kLatest)
     } -> std::same_as<net::HttpRequest>;
   { form.ParsePage(answer) } -> std::same_as<base::Result<StorePage>>;
-  // The entry of one key; its page is empty if there is none.
+  // Reads the entry of one key. The page is empty if there is none.
   { form.Read(text) } -> std::same_as<net::HttpRequest>;
   { form.ParseEntry(answer) } -> std::same_as<base::Result<StorePage>>;
   { form.Swap(swap) } -> std::same_as<net::HttpRequest>;
@@ -50,11 +52,11 @@
   { form.Watch(text, revision, time) } -> std::same_as<net::HttpRequest>;
   { form.ParseChanges(answer) } -> std::same_as<base::Result<StoreChanges>>;
   { form.CanWatch() } -> std::same_as<bool>;
-  // Whether listings that may be old count toward the store's rate.
+  // Whether listings that may be stale count towards the store's rate limit.
   { form.CountsStaleListings() } -> std::same_as<bool>;
 };
 
-// Any StoreProtocol, by value.
+// Type-erased StoreProtocol.
 struct AnyStoreProtocol {
   template <StoreProtocol Form>
   static AnyStoreProtocol Of(const Form& form) {
--- a/tests/auto/store/store_client_test.cc
+++ b/tests/auto/store/store_client_test.cc
@@ -1,4 +1,4 @@
-// The store's client against a store that answers nonsense, or not at all.
+// The store client against a store whose responses are malformed or missing.
 #include "store/store_client.h"
 
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 
 using base::ErrorKind;
 
-// A store that gives one fixed answer to every call.
+// A store that sends the same response to every call.
 class FixedStore {
  public:
   FixedStore(int status, std::string body)
@@ -57,7 +57,7 @@
   StoreClient client_;
 };
 
-TEST_CASE("an answer that the protocol does not know is an error") {
+TEST_CASE("a malformed response is an error") {
   for (const char* body :
        {"", "no json", "[]", "{\"kvs\": 7}", "{\"kvs\": [7]}"}) {
     INFO(body);
@@ -80,7 +80,7 @@
         ErrorKind::kStoreOutcomeUnknown);
 }
 
-TEST_CASE("what the protocol leaves out is zero or false") {
+TEST_CASE("fields that the protocol omits are zero or false") {
   const auto entries =
       FixedStore(200, R"({"kvs": [{"key": "a2V5", "mod_revision": "7"}]})")
           .Read();
@@ -93,7 +93,8 @@
   CHECK(FixedStore(200, R"({"succeeded": true})").Swap().value());
 }
 
-TEST_CASE("a connection to the store that went silent is not used for long") {
+TEST_CASE(
+    "a silent connection to the store is not reused after its idle limit") {
   net::EventLoop loop;
   const auto store =
       net::HttpServer::Open(loop, *base::SocketAddress::Parse("127.0.0.1:0"),
@@ -116,7 +117,7 @@
   CHECK(client.calls().Of(CallKind::kRead, CallResult::kAnswered) == 2);
 }
 
-TEST_CASE("a watch that the store lost ends soon after its time") {
+TEST_CASE("a watch without a response ends soon after its wait") {
   net::EventLoop loop;
   auto silent =
       net::ListeningSocket::Open(*base::SocketAddress::Parse("127.0.0.1:0"));
@@ -125,11 +126,11 @@
   StoreClient client(http, {silent.value().address()}, std::chrono::seconds(2));
   bool watch_ended = false;
   client.Watch("key", 1, std::chrono::milliseconds(10),
-               std::chrono::milliseconds(1000), [&](const auto& news) {
+               std::chrono::milliseconds(1000), [&](const auto& changes) {
                  watch_ended = true;
-                 CHECK_FALSE(news);
+                 CHECK_FALSE(changes);
                });
-  // Begun at the same time, and given up after the two seconds of any call.
+  // Started at the same time; times out after the two seconds of any call.
   client.Read("key", [&](const auto&) { loop.Stop(); });
   loop.Run();
   CHECK(watch_ended);
