--- a/src/libs/declarations/checker.cc
+++ b/src/libs/declarations/checker.cc
@@ -16,8 +16,8 @@
 using settings::Problem;
 using settings::Problems;
 
-// One file, read twice: for its values and for its lines.
-struct Checked {
+// A file parsed into its values, and into entries with line numbers.
+struct ParsedFile {
   ServiceDeclaration service;
   IniDocument document;
 };
@@ -39,67 +39,68 @@
           std::move(accepted)};
 }
 
-Checked ReadFile(const DeclarationFile& file, Problems& problems) {
-  Checked checked;
-  checked.service = ParseService(file.file, file.text, true, problems);
-  Problems reported_already;
-  checked.document = IniDocument::Parse(file.file, file.text, reported_already);
-  return checked;
+ParsedFile ReadFile(const DeclarationFile& file, Problems& problems) {
+  ParsedFile parsed;
+  parsed.service = ParseService(file.file, file.text, true, problems);
+  Problems already_reported;
+  parsed.document = IniDocument::Parse(file.file, file.text, already_reported);
+  return parsed;
 }
 
-void CheckDeadlines(const Checked& checked, Problems& problems) {
-  const ServiceDeclaration& service = checked.service;
+void CheckDeadlines(const ParsedFile& parsed, Problems& problems) {
+  const ServiceDeclaration& service = parsed.service;
   if (service.deadline <= service.longest_deadline)
     return;
   problems.push_back(MakeProblem(
-      checked.document, "requests", "deadline",
+      parsed.document, "requests", "deadline",
       absl::StrCat("at most longest_deadline, which is ",
                    base::FormatDuration(service.longest_deadline))));
 }
 
-// A rule may be narrower or wider than the match, but must meet it.
-void CheckRepeatable(const Checked& checked, Problems& problems) {
-  const std::string& match = checked.service.path_prefix;
-  for (const RepeatableRule& rule : checked.service.repeatable) {
-    const bool meets = rule.path_prefix.starts_with(match) ||
-                       match.starts_with(rule.path_prefix);
-    if (meets)
+// The path of a rule may be narrower or wider than the match, but they must
+// overlap.
+void CheckRepeatable(const ParsedFile& parsed, Problems& problems) {
+  const std::string& match = parsed.service.path_prefix;
+  for (const RepeatableRule& rule : parsed.service.repeatable) {
+    const bool overlaps = rule.path_prefix.starts_with(match) ||
+                          match.starts_with(rule.path_prefix);
+    if (overlaps)
       continue;
     problems.push_back(MakeProblem(
-        checked.document, "requests", "repeatable",
+        parsed.document, "requests", "repeatable",
         absl::StrCat("paths inside the match, ", match, "; ", rule.path_prefix,
                      " never reaches this service")));
   }
 }
 
-// Two services that the same request would fit equally well.
-void CheckMatches(const std::vector<Checked>& all, Problems& problems) {
-  std::map<std::pair<std::string, std::string>, const Checked*> seen;
-  for (const Checked& checked : all) {
-    const ServiceDeclaration& service = checked.service;
+// Reports services with the same host and path prefix.
+void CheckMatches(const std::vector<ParsedFile>& all, Problems& problems) {
+  std::map<std::pair<std::string, std::string>, const ParsedFile*> seen;
+  for (const ParsedFile& parsed : all) {
+    const ServiceDeclaration& service = parsed.service;
     const auto match = std::pair(service.host, service.path_prefix);
     if (match.first.empty() && match.second.empty())
-      continue;  // Reported already.
-    const auto [other, is_new] = seen.emplace(match, &checked);
+      continue;  // Already reported.
+    const auto [other, is_new] = seen.emplace(match, &parsed);
     if (is_new)
       continue;
     const char* key = service.path_prefix.empty() ? "host" : "path_prefix";
     problems.push_back(MakeProblem(
-        checked.document, "match", key,
+        parsed.document, "match", key,
         absl::StrCat("a match of its own; service ",
                      other->second->service.name, " in ",
                      other->second->document.file, " has the same")));
   }
 }
 
-DeclarationTexts TakeTexts(const std::vector<DeclarationFile>& files,
-                           const std::vector<Checked>& all,
-                           Problems& problems) {
+DeclarationTexts CollectTexts(const std::vector<DeclarationFile>& files,
+                              const std::vector<ParsedFile>& all,
+                              Problems& problems) {
   DeclarationTexts texts;
   for (size_t i = 0; i < files.size(); ++i) {
     const std::string& name = all[i].service.name;
     if (name.empty())
-      continue;  // Reported already.
+      continue;  // Already reported.
     if (!texts.emplace(name, files[i].text).second) {
       problems.push_back(MakeProblem(all[i].document, "service", "name",
                                      "a name that no other file declares"));
@@ -112,14 +113,14 @@
 
 DeclarationTexts CheckDeclarations(const std::vector<DeclarationFile>& files,
                                    Problems& problems) {
-  std::vector<Checked> all;
+  std::vector<ParsedFile> all;
   for (const DeclarationFile& file : files) {
     all.push_back(ReadFile(file, problems));
     CheckDeadlines(all.back(), problems);
     CheckRepeatable(all.back(), problems);
   }
   CheckMatches(all, problems);
-  DeclarationTexts texts = TakeTexts(files, all, problems);
+  DeclarationTexts texts = CollectTexts(files, all, problems);
   std::ranges::stable_sort(problems, [](const Problem& a, const Problem& b) {
     return std::pair(a.file, a.line) < std::pair(b.file, b.line);
   });
--- a/src/libs/declarations/checker.h
+++ b/src/libs/declarations/checker.h
@@ -1,4 +1,4 @@
-// Checks all declarations together.
+// Validates a set of declarations.
 #ifndef DECLARATIONS_CHECKER_H_
 #define DECLARATIONS_CHECKER_H_
 
@@ -11,12 +11,12 @@
 namespace chestnutport::declarations {
 
 struct DeclarationFile {
-  std::string file;  // Its name, for people.
+  std::string file;  // File name, used in problem reports.
   std::string text;
 };
 
-// Reports every problem of every file, and what contradicts between them.
-// Returns the texts by service; they may be used only if `problems` stayed
+// Reports all problems in the files, and conflicts between them, sorted by file
+// and line. Returns the texts by service, which are valid only if `problems` is
 // empty.
 DeclarationTexts CheckDeclarations(const std::vector<DeclarationFile>& files,
                                    settings::Problems& problems);
--- a/src/libs/declarations/configuration.h
+++ b/src/libs/declarations/configuration.h
@@ -1,4 +1,4 @@
-// All that operators have confirmed, at one revision.
+// The configuration confirmed by operators at one revision.
 #ifndef DECLARATIONS_CONFIGURATION_H_
 #define DECLARATIONS_CONFIGURATION_H_
 
@@ -14,11 +14,12 @@
 
 namespace chestnutport::declarations {
 
-// Texts of declarations by the service's name. The texts are kept as they were
-// confirmed, so that keys which this version does not know survive.
+// Maps service names to the texts of their declarations. The texts are kept as
+// confirmed, so that keys unknown to this version are preserved.
 using DeclarationTexts = std::map<std::string, std::string, std::less<>>;
 
-// What a caller may send, and for how long it may take or keep a connection.
+// Limits on the size of requests and on the time that a caller may take to send
+// one or keep a connection idle.
 struct CallerLimits {
   size_t largest_headers = 32 * 1024;  // Bytes.
   size_t largest_body = 1024 * 1024;   // Bytes.
@@ -27,28 +28,31 @@
 };
 
 struct Configuration {
-  uint64_t revision = 0;  // Zero: nothing was ever confirmed.
+  uint64_t revision = 0;  // Zero before the first confirmation.
   DeclarationTexts texts;
   std::vector<ServiceDeclaration> services;  // Parsed from `texts`.
 
-  // Problems in the texts are ignored: they were checked when confirmed.
+  // Ignores problems in the texts, which were validated when they were
+  // confirmed.
   static Configuration FromTexts(uint64_t revision, DeclarationTexts texts);
 
-  // Routes that are declared beside the services, if the source of the
-  // configuration has such; a service's own host and path are another way.
+  // Routes declared separately from the services, if the source of the
+  // configuration has any. A service may also be matched by its own host and
+  // path.
   RouteTable routes;
   CallerLimits limits;
 
-  // Null if none of that name is declared.
+  // Returns null if no service has that name.
   const ServiceDeclaration* FindService(std::string_view name) const;
-  // The service for a request; the longest path prefix wins. Null if none.
+  // Returns the service for a request by the longest path prefix; null if none
+  // matches.
   const ServiceDeclaration* Match(std::string_view host,
                                   std::string_view path) const;
 };
 
-// Shared, as an exception: every thread of a node reads it, it never changes,
-// and a copy of a large one for each change of the fleet costs more than the
-// change. Never null.
+// Shared between all threads of a node and immutable, because copying a large
+// configuration at each change of the fleet would cost more than the change.
+// Never null.
 using SharedConfiguration = std::shared_ptr<const Configuration>;
 
 }  // namespace chestnutport::declarations
--- a/src/libs/declarations/route_declaration.h
+++ b/src/libs/declarations/route_declaration.h
@@ -1,4 +1,4 @@
-// Which requests go to which services, and what they may cost.
+// Routes of requests to services, with their limits.
 #ifndef DECLARATIONS_ROUTE_DECLARATION_H_
 #define DECLARATIONS_ROUTE_DECLARATION_H_
 
@@ -10,29 +10,30 @@
 
 namespace chestnutport::declarations {
 
-// A service that gets a part of a route's requests.
+// A service that receives a share of a route's requests.
 struct RouteTarget {
   std::string service;
-  int weight = 1;  // Its part of the sum of the route's weights.
+  int weight = 1;  // Relative to the sum of the route's weights.
 };
 
 struct RouteDeclaration {
   std::string name;
-  std::string host;         // Equals the Host header.
-  std::string path_prefix;  // The longest that begins the path decides.
+  std::string host;         // Has to equal the Host header.
+  std::string path_prefix;  // The longest matching prefix wins.
   bool is_repeatable = false;
-  base::Duration timeout{};         // A caller waits no longer than this.
-  base::Duration target_latency{};  // An answer is worth most until then.
-  int urgency = 1;                  // A lower one goes first.
-  int max_servers = 1;              // That one request may be handed to.
+  base::Duration timeout{};         // Longest time that a caller waits.
+  base::Duration target_latency{};  // Responses within it have full value.
+  int urgency = 1;                  // Lower values are served first.
+  int max_servers = 1;              // Servers that one request may be sent to.
   std::vector<RouteTarget> targets;
-  std::vector<std::string> regions;  // Where a request may run; empty: any.
+  std::vector<std::string> regions;  // Where requests may run; any if empty.
 
-  // A service by the weights; empty if there are no targets.
+  // Returns a random service according to the weights; an empty string if there
+  // are no targets.
   const std::string& PickService(base::Random& random) const;
 };
 
-// The name of the class of requests with an urgency.
+// Returns the name of the request class with an urgency.
 std::string UrgencyClass(int urgency);
 
 }  // namespace chestnutport::declarations
--- a/src/libs/declarations/route_table.cc
+++ b/src/libs/declarations/route_table.cc
@@ -10,12 +10,12 @@
 RouteTable::RouteTable(std::vector<RouteDeclaration> routes)
     : size_(routes.size()) {
   for (RouteDeclaration& route : routes) {
-    auto& of_host = by_host_[route.host];
-    of_host.push_back(std::move(route));
+    auto& host_routes = by_host_[route.host];
+    host_routes.push_back(std::move(route));
   }
-  for (auto& [host, of_host] : by_host_) {
+  for (auto& [host, host_routes] : by_host_) {
     std::ranges::stable_sort(
-        of_host, std::ranges::greater(),
+        host_routes, std::ranges::greater(),
         [](const RouteDeclaration& route) { return route.path_prefix.size(); });
   }
 }
--- a/src/libs/declarations/route_table.h
+++ b/src/libs/declarations/route_table.h
@@ -1,5 +1,5 @@
-// Routes by host, so that a request is matched among those of its own host
-// however many there are in all.
+// Routes indexed by host, so that the cost of matching a request does not
+// depend on the total number of routes.
 #ifndef DECLARATIONS_ROUTE_TABLE_H_
 #define DECLARATIONS_ROUTE_TABLE_H_
 
@@ -17,15 +17,15 @@
   RouteTable() = default;
   explicit RouteTable(std::vector<RouteDeclaration> routes);
 
-  // The route for a request; the longest path prefix wins, and of two equal
-  // ones the one that was declared first. Null if none.
+  // Returns the route for a request by the longest path prefix; of equal
+  // prefixes the one declared first. Returns null if none matches.
   const RouteDeclaration* Match(std::string_view host,
                                 std::string_view path) const;
 
   size_t size() const { return size_; }
 
  private:
-  // Of each host, the longest prefix first.
+  // Sorted by descending length of the prefix for each host.
   absl::flat_hash_map<std::string, std::vector<RouteDeclaration>> by_host_;
   size_t size_ = 0;
 };
--- a/src/libs/declarations/service_declaration.cc
+++ b/src/libs/declarations/service_declaration.cc
@@ -24,9 +24,9 @@
   std::string_view help = "";
 };
 
-constexpr size_t kLongestName = 64;
-// More than any server answers.
-constexpr double kMostColdRate = 1000000;
+constexpr size_t kMaxNameLength = 64;
+// More than any server can handle.
+constexpr double kMaxColdRate = 1000000;
 constexpr std::string_view kNameAccepted = "1 to 64 of a-z, 0-9 and -";
 constexpr std::string_view kMemberAccepted =
     "name = a number from 1 to 1000; the name 1 to 64 of letters, digits, "
@@ -37,13 +37,13 @@
 }
 
 bool IsServiceName(std::string_view text) {
-  return !text.empty() && text.size() <= kLongestName &&
+  return !text.empty() && text.size() <= kMaxNameLength &&
          std::ranges::all_of(
              text, [](char c) { return IsLowerOrDigit(c) || c == '-'; });
 }
 
 bool IsMemberName(std::string_view text) {
-  return !text.empty() && text.size() <= kLongestName &&
+  return !text.empty() && text.size() <= kMaxNameLength &&
          std::ranges::all_of(text, [](char c) {
            return IsLowerOrDigit(c) || (c >= 'A' && c <= 'Z') || c == '-' ||
                   c == '_' || c == '.';
@@ -57,20 +57,20 @@
 }
 
 bool ReadHost(ServiceDeclaration& service, std::string_view text) {
-  const bool fits = !text.empty() && std::ranges::all_of(text, [](char c) {
+  const bool is_valid = !text.empty() && std::ranges::all_of(text, [](char c) {
     return IsLowerOrDigit(c) || c == '-' || c == '.' || c == ':';
   });
-  if (fits)
+  if (is_valid)
     service.host = text;
-  return fits;
+  return is_valid;
 }
 
 bool ReadPathPrefix(ServiceDeclaration& service, std::string_view text) {
-  const bool fits = text.starts_with('/') &&
-                    text.find_first_of(" \t?#") == std::string_view::npos;
-  if (fits)
+  const bool is_valid = text.starts_with('/') &&
+                        text.find_first_of(" \t?#") == std::string_view::npos;
+  if (is_valid)
     service.path_prefix = text;
-  return fits;
+  return is_valid;
 }
 
 auto Time(base::Duration ServiceDeclaration::*member) {
@@ -98,10 +98,10 @@
   };
 }
 
-auto Count(int ServiceDeclaration::*member, int least, int most) {
+auto Count(int ServiceDeclaration::*member, int min, int max) {
   return [=](ServiceDeclaration& service, std::string_view text) {
     return base::ParseNumber(text, &(service.*member)) &&
-           service.*member >= least && service.*member <= most;
+           service.*member >= min && service.*member <= max;
   };
 }
 
@@ -146,7 +146,7 @@
 
 bool ReadColdRate(ServiceDeclaration& service, std::string_view text) {
   return base::ParseNumber(text, &service.cold_rate) &&
-         service.cold_rate >= 0 && service.cold_rate <= kMostColdRate;
+         service.cold_rate >= 0 && service.cold_rate <= kMaxColdRate;
 }
 
 const std::vector<Key>& AllKeys() {
--- a/src/libs/declarations/service_declaration.h
+++ b/src/libs/declarations/service_declaration.h
@@ -1,4 +1,4 @@
-// What operators declare about one service.
+// The declaration of one service.
 #ifndef DECLARATIONS_SERVICE_DECLARATION_H_
 #define DECLARATIONS_SERVICE_DECLARATION_H_
 
@@ -11,88 +11,90 @@
 
 namespace chestnutport::declarations {
 
-// Requests that may be repeated: a method, and the beginning of the path.
+// Matches requests that may be repeated, by method and path prefix.
 struct RepeatableRule {
   std::string method;       // "GET", or "*" for every method.
   std::string path_prefix;  // "/" for every path.
 };
 
-// A group of requests by urgency. A lower `urgency` goes first.
+// A class of requests. Those with a lower `urgency` are served first.
 struct ClassDeclaration {
   std::string name;
   int urgency = 1;
 };
 
-// An organisation that calls, with a share of the service's servers under
-// contention.
+// A tenant, with its share of the service's servers under contention.
 struct TenantDeclaration {
   std::string name;
   int share = 1;
 };
 
-// Where the record of idempotency keys of a service is kept.
+// Where the idempotency keys of a service are recorded.
 enum class KeyRecordLocation {
   kOwner,  // In the memory of the node that owns the key.
-  kStore,  // In the platform's store: a write for each keyed request.
+  kStore,  // In the platform's store, with one write per keyed request.
 };
 
 struct ServiceDeclaration {
   std::string name;
-  std::string host;         // Matches the Host header; empty: any.
-  std::string path_prefix;  // Matches the beginning of the path.
+  std::string host;         // Has to equal the Host header; any if empty.
+  std::string path_prefix;  // Prefix of the path.
   std::vector<RepeatableRule> repeatable;
-  std::vector<std::string> regions;  // Where a request may run; empty: any.
+  std::vector<std::string> regions;  // Where requests may run; any if empty.
   base::Duration deadline =
-      std::chrono::seconds(10);  // If the caller has none.
+      std::chrono::seconds(10);  // Of a request that has none.
   base::Duration longest_deadline = std::chrono::seconds(60);
-  double retry_budget = 0.1;  // Attempts beyond the first, as a share.
+  double retry_budget = 0.1;  // Retries, as a share of all requests.
   double hedge_budget = 0.02;
-  int slots = 12;               // Requests a server runs at a time.
+  int slots = 12;               // Requests that a server runs concurrently.
   int queue = 24;               // Requests that may wait for one server.
-  double probe_budget = 0.005;  // Server's time for probes, as a share.
+  double probe_budget = 0.005;  // Share of server time for probes.
   base::Duration drain_grace = std::chrono::seconds(30);
   base::Duration cold_start = std::chrono::seconds(10);
-  // Requests a second that a cold server tolerates; zero: as many as a warm
+  // Requests a second that a cold server tolerates; zero if as many as a warm
   // one.
   double cold_rate = 0;
   KeyRecordLocation key_record = KeyRecordLocation::kOwner;
-  // Where a server tells how it is; empty: it says so when it announces itself.
+  // Path at which a server reports its health; if empty, it reports its health
+  // when it announces itself.
   std::string health_path;
-  // Without an answer for so long, a server is probed.
+  // A server is probed after this time without a response.
   base::Duration probe_quiet = std::chrono::seconds(2);
-  // Without an answer for so long, a request waits for a probe before it is
-  // started, if it could go to another server; zero: it does not wait.
+  // After this time without a response from the server, a request that could go
+  // to another server waits for a probe before it starts; zero disables the
+  // wait.
   base::Duration probe_stale{};
-  // False: a server is given as many requests as it has slots, whatever is
-  // measured.
+  // Whether the concurrency limit of a server adapts to measurements. Otherwise
+  // it is the number of its slots.
   bool adapts_limit = true;
-  // Of its slots, the share that a server is given at most: some slow down when
-  // they are nearly full.
+  // Largest share of its slots that a server is given, because some servers
+  // slow down when they are nearly full.
   double usable_slots = 1;
-  int max_connections = 0;  // That a server accepts; zero: it is not known.
+  int max_connections = 0;  // That a server accepts; zero if unknown.
   std::vector<ClassDeclaration> classes;
-  std::vector<TenantDeclaration> tenants;  // Empty: any tenant, equal shares.
+  std::vector<TenantDeclaration>
+      tenants;  // If empty, any tenant, with equal shares.
 
   bool IsRepeatable(std::string_view method, std::string_view path) const;
 };
 
-// One key of a declaration as it is documented and checked.
+// Documentation of one key of a declaration.
 struct DeclarationKey {
   std::string_view section;
   std::string_view key;
   std::string_view accepted;
-  std::string_view default_text;  // Empty: must be given.
+  std::string_view default_text;  // Empty if the key is required.
   std::string_view help;
 };
 
-// All keys, in the order of docs/DECLARATIONS.md.
+// Returns all keys, in the order of docs/DECLARATIONS.md.
 const std::vector<DeclarationKey>& DescribeDeclarationKeys();
 
-// The table of docs/DECLARATIONS.md, in Markdown.
+// Returns the table of docs/DECLARATIONS.md, in Markdown.
 std::string DeclarationsTable();
 
-// Reads the declaration in `text`. Keys that are not known are problems if
-// `strict`; a node reading what a newer one accepted is not strict.
+// Parses the declaration in `text`. Unknown keys are problems only if `strict`.
+// Nodes are not strict, as a newer version may have accepted the keys.
 ServiceDeclaration ParseService(std::string_view file,
                                 std::string_view text,
                                 bool strict,
--- a/tests/auto/declarations/checker_test.cc
+++ b/tests/auto/declarations/checker_test.cc
@@ -1,4 +1,5 @@
-// Declarations: every problem is told, with its place and what is accepted.
+// Validation of declarations: every problem is reported with its location and
+// the accepted values.
 #include "declarations/checker.h"
 
 #include <catch2/catch.hpp>
@@ -9,7 +10,7 @@
 namespace chestnutport::declarations {
 namespace {
 
-constexpr char kGood[] =
+constexpr char kValid[] =
     "[service]\nname = dossie\n[match]\npath_prefix = /dossie/\n"
     "[requests]\nrepeatable = GET /dossie/, * /dossie/read/\ndeadline = 2s\n"
     "[classes]\nurgent = 1\n[tenants]\nAcme_1.x = 3\n";
@@ -20,24 +21,25 @@
   return problems;
 }
 
-// `kGood` with one line in place of another.
-std::string With(const std::string& line, const std::string& other) {
-  std::string text = kGood;
-  return text.replace(text.find(line), line.size(), other);
+// Returns `kValid` with one line replaced.
+std::string With(const std::string& line, const std::string& replacement) {
+  std::string text = kValid;
+  return text.replace(text.find(line), line.size(), replacement);
 }
 
-TEST_CASE("good declarations are taken by their names") {
+TEST_CASE("valid declarations are returned by service") {
   settings::Problems problems;
-  const auto texts = CheckDeclarations({{"x.ini", kGood}}, problems);
+  const auto texts = CheckDeclarations({{"x.ini", kValid}}, problems);
   CHECK(problems.empty());
-  CHECK(texts.at("dossie") == kGood);
+  CHECK(texts.at("dossie") == kValid);
 }
 
-TEST_CASE("one problem is told with file, line, key, value and what fits") {
+TEST_CASE(
+    "a problem is reported with file, line, key, value and accepted values") {
   struct Row {
     const char* line;
-    const char* other;
-    const char* told;
+    const char* replacement;
+    const char* expected;
   };
   const std::vector<Row> rows = {
       {"name = dossie", "name = Dossie!",
@@ -66,33 +68,33 @@
       {"Acme_1.x = 3", "a b = 3", "f:11: [tenants] a b = 3"},
   };
   for (const Row& row : rows) {
-    const auto problems = Check({{"f", With(row.line, row.other)}});
-    INFO(row.other);
+    const auto problems = Check({{"f", With(row.line, row.replacement)}});
+    INFO(row.replacement);
     REQUIRE(problems.size() == 1);
     INFO(problems[0].ToString());
-    CHECK(problems[0].ToString().find(row.told) != std::string::npos);
+    CHECK(problems[0].ToString().find(row.expected) != std::string::npos);
   }
 }
 
-TEST_CASE("what contradicts between files is told") {
-  SECTION("one name twice") {
+TEST_CASE("conflicts between files are reported") {
+  SECTION("two services with the same name") {
     const auto problems = Check(
-        {{"a", kGood}, {"b", With("path_prefix = /dossie/", "host = b.ee")}});
+        {{"a", kValid}, {"b", With("path_prefix = /dossie/", "host = b.ee")}});
     REQUIRE(problems.size() == 1);
     CHECK(problems[0].ToString() ==
           "b:2: [service] name = dossie: accepted: a name that no other file "
           "declares");
   }
-  SECTION("one match twice") {
+  SECTION("two services with the same match") {
     const auto problems =
-        Check({{"a", kGood}, {"b", With("name = dossie", "name = other")}});
+        Check({{"a", kValid}, {"b", With("name = dossie", "name = other")}});
     REQUIRE(problems.size() == 1);
     CHECK(problems[0].ToString().find("service dossie in a has the same") !=
           std::string::npos);
   }
 }
 
-TEST_CASE("all problems are told at once, in the order of their lines") {
+TEST_CASE("all problems are reported, sorted by file and line") {
   const auto problems =
       Check({{"b", "[service]\nname = B\nnonsense\n[servers]\nslots = 0\n"},
              {"a", ""}});
@@ -102,7 +104,7 @@
   CHECK(problems[5].line == 5);
 }
 
-TEST_CASE("a node reads what a newer version accepted") {
+TEST_CASE("a node ignores keys of a newer version") {
   settings::Problems problems;
   const std::string text = With("deadline = 2s", "deadline = 3s\nnewer = 1");
   const auto service = ParseService("f", text, false, problems);
@@ -110,7 +112,7 @@
   CHECK(service.deadline == std::chrono::seconds(3));
 }
 
-TEST_CASE("docs/DECLARATIONS.md has a row for each key, as the code has it") {
+TEST_CASE("docs/DECLARATIONS.md contains the current table of keys") {
   const char* source = std::getenv("CHESTNUTPORT_SOURCE");
   std::stringstream page;
   page << std::ifstream(std::string(source ? source : ".") +
--- a/tests/auto/declarations/route_table_test.cc
+++ b/tests/auto/declarations/route_table_test.cc
@@ -1,4 +1,4 @@
-// Which route a request takes, however many there are.
+// Matching of requests to routes.
 #include "declarations/route_table.h"
 
 #include <catch2/catch.hpp>
@@ -16,7 +16,7 @@
   return route;
 }
 
-TEST_CASE("a request takes the longest prefix of its own host") {
+TEST_CASE("the longest path prefix of the host matches") {
   const RouteTable table({Route("a", "/"), Route("a", "/long/"),
                           Route("a", "/l/"), Route("b", "/long/er/")});
   CHECK(table.size() == 4);
@@ -29,14 +29,14 @@
   CHECK_FALSE(RouteTable().Match("a", "/"));
 }
 
-TEST_CASE("of two equal prefixes the first that was declared holds") {
+TEST_CASE("of equal prefixes the first declared one matches") {
   auto first = Route("a", "/p/");
   first.name = "first";
   const RouteTable table({first, Route("a", "/p/")});
   CHECK(table.Match("a", "/p/")->name == "first");
 }
 
-TEST_CASE("two thousand routes are kept apart") {
+TEST_CASE("two thousand routes match independently") {
   std::vector<RouteDeclaration> routes;
   for (int i = 0; i < 2000; ++i)
     routes.push_back(
