--- a/src/libs/evacuation/evacuations.h
+++ b/src/libs/evacuation/evacuations.h
@@ -1,4 +1,5 @@
-// The data centres whose servers operators want to take no new work.
+// The data centres that operators have evacuated: their servers receive no new
+// requests.
 #ifndef EVACUATION_EVACUATIONS_H_
 #define EVACUATION_EVACUATIONS_H_
 
@@ -11,15 +12,15 @@
 namespace chestnutport::evacuation {
 
 struct Evacuations {
-  // Bytes of the names together, with one for each: they travel in datagrams.
+  // Limit of NameBytes(), because the names are sent in gossip datagrams.
   static constexpr size_t kMaxNameBytes = 400;
 
-  // The store's revision at which it was so; zero: nothing is known.
+  // The store's revision at which this was read; zero if nothing is known.
   uint64_t as_of = 0;
-  std::vector<std::string> data_centres;  // In order, each once.
+  std::vector<std::string> data_centres;  // Sorted, without duplicates.
 
   bool Contains(std::string_view data_centre) const;
-  // The bytes of all names, as kMaxNameBytes counts them.
+  // Returns the total size of the names, with one more byte for each.
   size_t NameBytes() const;
 
   bool operator==(const Evacuations&) const = default;
--- a/src/libs/evacuation/local_evacuations.cc
+++ b/src/libs/evacuation/local_evacuations.cc
@@ -6,8 +6,8 @@
   if (read.as_of <= store_read_as_of_ || read.as_of <= current_.as_of)
     return false;
   store_read_as_of_ = read.as_of;
-  // Told only where it changes something: else each reading would go round the
-  // fleet.
+  // Announced only if something changed; otherwise each read would cause gossip
+  // in the whole fleet.
   if (read.data_centres == current_.data_centres)
     return false;
   current_ = read;
@@ -21,7 +21,7 @@
     current_ = reported;
     return true;
   }
-  // The other holds what ended before this node read the store.
+  // The peer holds evacuations that ended before this node read the store.
   current_.as_of = store_read_as_of_;
   return true;
 }
--- a/src/libs/evacuation/local_evacuations.h
+++ b/src/libs/evacuation/local_evacuations.h
@@ -1,5 +1,6 @@
-// What a node knows of evacuations, from the store and from other nodes. The
-// store's revisions order all that is heard, whatever way it came. Pure.
+// The evacuations known to this node, from the store and from peers. Updates
+// are ordered by the store's revision, regardless of their source. Has no side
+// effects.
 #ifndef EVACUATION_LOCAL_EVACUATIONS_H_
 #define EVACUATION_LOCAL_EVACUATIONS_H_
 
@@ -11,17 +12,19 @@
 
 class LocalEvacuations {
  public:
-  // What this node read from the store. Returns whether others are to be told.
+  // Applies what this node read from the store. Returns whether the evacuations
+  // have to be announced to the other nodes.
   bool OnStoreRead(const Evacuations& read);
-  // What another node holds. Returns whether others are to be told: it is new
-  // here, or older than what this node read itself.
+  // Applies what a peer holds. Returns whether the evacuations have to be
+  // announced: they are new to this node, or the peer holds an older state than
+  // this node has read.
   bool OnPeerReport(const Evacuations& reported);
 
   const Evacuations& current() const { return current_; }
 
  private:
   Evacuations current_;
-  // The store's revision at which this node itself found `current_` true.
+  // The store's revision at which this node itself last confirmed `current_`.
   uint64_t store_read_as_of_ = 0;
 };
 
--- a/src/libs/evacuation_store/evacuation_change.h
+++ b/src/libs/evacuation_store/evacuation_change.h
@@ -1,4 +1,5 @@
-// What an operator asks for: that a data centre is evacuated, or no more. Pure.
+// A change by an operator: a data centre is evacuated or readmitted. Has no
+// side effects.
 #ifndef EVACUATION_STORE_EVACUATION_CHANGE_H_
 #define EVACUATION_STORE_EVACUATION_CHANGE_H_
 
@@ -10,14 +11,14 @@
 
 struct EvacuationChange {
   std::string data_centre;
-  bool is_evacuated = true;  // False: its servers are to take work again.
+  bool is_evacuated = true;  // False to readmit it.
 
-  // Whether nothing is left to do.
+  // Returns whether the change is already in effect.
   bool IsInEffect(const DataCentres& current) const;
-  // What is evacuated afterwards, in order.
+  // Returns the evacuated data centres after the change, sorted.
   DataCentres Apply(DataCentres current) const;
-  // Names the change and all that is evacuated when it is planned, so that a
-  // plan cannot be confirmed that was made of something else.
+  // Returns the plan identifier. It contains the change and all data centres
+  // evacuated at the time, so that a plan with an outdated base is rejected.
   std::string PlanId(const DataCentres& current) const;
 };
 
--- a/src/libs/evacuation_store/evacuation_format.h
+++ b/src/libs/evacuation_store/evacuation_format.h
@@ -1,4 +1,4 @@
-// How evacuations lie in the store.
+// Encoding of evacuations in the store.
 #ifndef EVACUATION_STORE_EVACUATION_FORMAT_H_
 #define EVACUATION_STORE_EVACUATION_FORMAT_H_
 
@@ -18,17 +18,17 @@
 template <typename Form>
 concept EvacuationFormat =
     requires(const Form& format, std::span<const store::StoreEntry> entries) {
-  // Of all keys that tell of evacuations.
+  // Returns the prefix of all keys that hold evacuations.
   { format.Prefix() } -> std::same_as<std::string>;
-  // The data centres by all entries with the prefix, in any order; nothing if
-  // an entry cannot be read.
+  // Returns the evacuated data centres, in any order, from all entries with the
+  // prefix; nothing if an entry cannot be parsed.
   { format.Read(entries) } -> std::same_as<std::optional<DataCentres>>;
-  // Whether operators write them through a node; if not, they write them
-  // themselves.
+  // Whether nodes write evacuations for operators. Otherwise operators write
+  // them to the store directly.
   { format.IsWrittenByNodes() } -> std::same_as<bool>;
 };
 
-// Any EvacuationFormat, by value.
+// Type-erased EvacuationFormat.
 struct AnyEvacuationFormat {
   template <EvacuationFormat Form>
   static AnyEvacuationFormat Of(const Form& format) {
--- a/src/libs/evacuation_store/evacuation_reader.cc
+++ b/src/libs/evacuation_store/evacuation_reader.cc
@@ -12,9 +12,10 @@
 using telemetry::Event;
 using telemetry::LogEvent;
 
-// A node that starts hears of the fleet, and so of evacuations, within this
-// time as a rule; only those that are readers then ask the store.
-constexpr base::Duration kFirstWait = std::chrono::seconds(1);
+// Within this time a starting node usually learns about the fleet and, with
+// that, about evacuations. Only the readers among the nodes then read the
+// store.
+constexpr base::Duration kFirstReadDelay = std::chrono::seconds(1);
 
 DataCentres Sorted(DataCentres names) {
   std::ranges::sort(names);
@@ -42,7 +43,7 @@
 }
 
 void EvacuationReader::Start() {
-  Schedule(kFirstWait + timing_.FirstReadDelay(random_));
+  Schedule(kFirstReadDelay + timing_.FirstReadDelay(random_));
 }
 
 void EvacuationReader::SetMembers(
@@ -80,8 +81,8 @@
       return;
     }
     OnPage(page);
-    // After a start each node takes itself for a reader until it knows the
-    // fleet.
+    // Until a starting node knows the fleet it considers itself a reader, so
+    // the first read is not followed by a watch.
     const bool is_settled = std::exchange(has_read_, true);
     if (is_settled && role_.is_reader() && page.value().as_of > 0 &&
         store_.CanWatch())
@@ -97,7 +98,8 @@
                          names ? Sorted(*names) : DataCentres()};
   const bool is_unreadable =
       !names || read.NameBytes() > Evacuations::kMaxNameBytes;
-  // What is held stays: an evacuation must not end by a fault of its writer.
+  // The known evacuations are kept: one must not end because an entry is
+  // invalid.
   if (!std::exchange(is_unreadable_, is_unreadable) && is_unreadable)
     LogEvent(Event::kStoreEntryUnreadable, {{"key", format_.prefix}});
   if (!is_unreadable)
@@ -120,9 +122,9 @@
     ScheduleSoon();
     return;
   }
-  const bool is_quiet =
+  const bool is_unchanged =
       changes.value().changed.empty() && changes.value().removed == 0;
-  if (is_quiet && role_.is_reader())
+  if (is_unchanged && role_.is_reader())
     Watch(std::max(after, changes.value().as_of));
   else
     Read();
--- a/src/libs/evacuation_store/evacuation_reader.h
+++ b/src/libs/evacuation_store/evacuation_reader.h
@@ -1,5 +1,5 @@
-// Reads from the store which data centres are evacuated, while this node is
-// one of its data centre's readers. Runs on the control thread.
+// Reads the evacuated data centres from the store while this node is a reader
+// of its data centre. Used on the control thread only.
 #ifndef EVACUATION_STORE_EVACUATION_READER_H_
 #define EVACUATION_STORE_EVACUATION_READER_H_
 
@@ -23,8 +23,9 @@
  public:
   using Handler = std::function<void(const evacuation::Evacuations&)>;
 
-  // `loop` and `store` must outlive the reader. `max_read_interval`: between
-  // two tries while the store fails. `read` is called with each reading.
+  // `loop` and `store` must outlive the reader. `max_read_interval` limits the
+  // delay between two reads while the store fails. `on_read` is called after
+  // each successful read.
   EvacuationReader(net::EventLoop& loop,
                    store::StoreClient& store,
                    AnyEvacuationFormat format,
@@ -36,12 +37,13 @@
   void Start();
   void SetMembers(const membership::Member& self,
                   const std::vector<membership::Member>& members);
-  // Reads at once, as this node changed something.
+  // Reads immediately, after this node changed the evacuations.
   void ReadNow();
 
  private:
   void Schedule(base::Duration wait);
-  // Soon, spread over the readers whose watches ended together.
+  // Schedules a read soon, with jitter for the readers whose watches ended at
+  // the same time.
   void ScheduleSoon();
   void Read();
   void OnPage(const base::Result<store::StorePage>& page);
@@ -59,8 +61,9 @@
   configuration::ReaderRole role_;
   net::EventLoop::TimerId timer_ = 0;
   configuration::CurrentWatch watch_;
-  bool has_read_ = false;       // Since the start.
-  bool is_unreadable_ = false;  // By the last reading; logged once in a row.
+  bool has_read_ = false;  // Since the start of the node.
+  bool is_unreadable_ =
+      false;  // At the last read. Logged when it becomes true.
 };
 
 }  // namespace chestnutport::evacuation_store
--- a/src/libs/evacuation_store/evacuation_writer.h
+++ b/src/libs/evacuation_store/evacuation_writer.h
@@ -1,5 +1,5 @@
-// Writes to the store what an operator confirmed of evacuations. Runs on the
-// control thread.
+// Writes evacuations confirmed by operators to the store. Used on the control
+// thread only.
 #ifndef EVACUATION_STORE_EVACUATION_WRITER_H_
 #define EVACUATION_STORE_EVACUATION_WRITER_H_
 
@@ -20,16 +20,17 @@
 
 class EvacuationWriter {
  public:
-  // What is evacuated now. Errors: kStalePlan if something else is evacuated
-  // than when the plan was made; kNotFound if the platform's operators write
-  // evacuations themselves; kStoreUnavailable if nothing was done;
-  // kStoreOutcomeUnknown if the change may have taken effect.
+  // Receives the data centres evacuated after the change. Errors: kStalePlan if
+  // the evacuations have changed since the plan was made; kNotFound if
+  // operators write evacuations to the store directly; kStoreUnavailable if
+  // nothing was changed; kStoreOutcomeUnknown if the change may have taken
+  // effect.
   using Handler = std::function<void(const base::Result<DataCentres>&)>;
 
   // `store` must outlive the writer.
   EvacuationWriter(store::StoreClient& store, AnyEvacuationFormat format);
 
-  // Repeating an order is harmless.
+  // Idempotent: a request may be repeated.
   void Execute(const EvacuationRequest& request, Handler handler);
 
  private:
--- a/src/libs/evacuation_store/native_evacuation_format.h
+++ b/src/libs/evacuation_store/native_evacuation_format.h
@@ -1,5 +1,5 @@
-// Evacuations in the product's own form: one key, whose value lists the data
-// centres as a JSON array.
+// The product's native format of evacuations: one key, whose value lists the
+// data centres as a JSON array.
 #ifndef EVACUATION_STORE_NATIVE_EVACUATION_FORMAT_H_
 #define EVACUATION_STORE_NATIVE_EVACUATION_FORMAT_H_
 
@@ -16,9 +16,9 @@
       std::span<const store::StoreEntry> entries) const;
   bool IsWrittenByNodes() const { return true; }
 
-  // The value of the key.
+  // Returns the value of the key.
   static std::string Write(const DataCentres& data_centres);
-  // Nothing if the text is none.
+  // Returns nothing if `text` is not an array of strings.
   static std::optional<DataCentres> Parse(const std::string& text);
 
  private:
--- a/tests/auto/evacuation/evacuation_forms_test.cc
+++ b/tests/auto/evacuation/evacuation_forms_test.cc
@@ -1,4 +1,4 @@
-// How evacuations are read from the store's entries.
+// Formats of evacuations in the store.
 #include <catch2/catch.hpp>
 
 #include "evacuation_store/native_evacuation_format.h"
@@ -9,26 +9,26 @@
 
 using Entries = std::vector<store::StoreEntry>;
 
-TEST_CASE("the product's own form is one list") {
-  const NativeEvacuationFormat form("fleet");
-  const std::string key = form.Prefix();
-  CHECK(form.Read({}) == DataCentres());
+TEST_CASE("the native format is one list") {
+  const NativeEvacuationFormat format("fleet");
+  const std::string key = format.Prefix();
+  CHECK(format.Read({}) == DataCentres());
   const Entries written = {{key, NativeEvacuationFormat::Write({"poa-b"}), 4}};
-  CHECK(form.Read(written) == DataCentres{"poa-b"});
+  CHECK(format.Read(written) == DataCentres{"poa-b"});
 
-  SECTION("what is no list of names is not taken for the end of one") {
+  SECTION("an invalid value is not read as an empty list") {
     const std::string value =
         GENERATE("", "{}", "[1]", "poa-b", "[\"a\",null]");
-    CHECK_FALSE(form.Read(Entries{{key, value, 5}}).has_value());
+    CHECK_FALSE(format.Read(Entries{{key, value, 5}}).has_value());
   }
 }
 
-TEST_CASE("the hosted form is a key for each data centre") {
-  const platform::HostedEvacuationForm form;
-  CHECK(form.Read({}) == DataCentres());
-  const Entries entries = {{form.Prefix() + "poa-a", "{}", 3},
-                           {form.Prefix() + "poa-b", "", 4}};
-  CHECK(form.Read(entries) == DataCentres{"poa-a", "poa-b"});
+TEST_CASE("the hosted format is one key per data centre") {
+  const platform::HostedEvacuationForm format;
+  CHECK(format.Read({}) == DataCentres());
+  const Entries entries = {{format.Prefix() + "poa-a", "{}", 3},
+                           {format.Prefix() + "poa-b", "", 4}};
+  CHECK(format.Read(entries) == DataCentres{"poa-a", "poa-b"});
 }
 
 }  // namespace
