--- a/src/libs/fleet_configuration/configuration_confirmer.h
+++ b/src/libs/fleet_configuration/configuration_confirmer.h
@@ -1,5 +1,4 @@
-// Takes the steps of confirmations against the store. Runs on the control
-// thread.
+// Runs confirmations against the store. Used on the control thread only.
 #ifndef FLEET_CONFIGURATION_CONFIGURATION_CONFIRMER_H_
 #define FLEET_CONFIGURATION_CONFIGURATION_CONFIRMER_H_
 
@@ -17,17 +16,18 @@
 class ConfigurationConfirmer {
  public:
   using DoneHandler = std::function<void(const configuration::Finish&)>;
-  // The greatest revision that any node was heard to hold.
+  // Returns the greatest revision reported by any other node.
   using ReportedRevisionSource = std::function<uint64_t()>;
 
-  // All must outlive the confirmer.
+  // The references must outlive the confirmer.
   ConfigurationConfirmer(net::EventLoop& loop,
                          ConfigurationStore& store,
                          const configuration::LocalConfiguration& local,
                          ReportedRevisionSource reported_revision);
   ~ConfigurationConfirmer();
 
-  // `done` is called once, within kConfirmTimeout and one call to the store.
+  // Starts a confirmation. `done` is called once, at the latest one call to the
+  // store after kConfirmTimeout.
   void Start(configuration::ConfirmRequest request, DoneHandler done);
 
  private:
@@ -48,7 +48,7 @@
   std::map<uint64_t, PendingConfirmation> pending_;
 };
 
-// How long a confirmation goes on trying.
+// Time after which a confirmation is no longer retried.
 inline constexpr base::Duration kConfirmTimeout = std::chrono::seconds(8);
 
 }  // namespace chestnutport::fleet_configuration
--- a/src/libs/fleet_configuration/configuration_fetcher.cc
+++ b/src/libs/fleet_configuration/configuration_fetcher.cc
@@ -16,10 +16,10 @@
 using membership::Member;
 
 constexpr base::Duration kTimeout = std::chrono::seconds(2);
-// Between two questions to any node. Short at first, because a node that just
-// started has nothing to go by.
+// Between two fetches from a random peer. Short at first, because a node that
+// has just started has received no announcements.
 constexpr base::Duration kFirstInterval = std::chrono::milliseconds(250);
-constexpr base::Duration kInterval = std::chrono::seconds(3);
+constexpr base::Duration kMaxInterval = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -67,7 +67,7 @@
     Fetch(*member);
   timer_ = loop_.CallAfter(interval_, [this] { FetchFromAnyPeer(); });
   if (scheduler_.HasPeers())
-    interval_ = std::min(2 * interval_, kInterval);
+    interval_ = std::min(2 * interval_, kMaxInterval);
 }
 
 void ConfigurationFetcher::FetchNewer() {
@@ -80,7 +80,8 @@
   newer_timer_ = 0;
   const base::Instant next = scheduler_.NextSelectionAt(revision);
   const bool is_behind = scheduler_.GreatestReportedRevision() > revision;
-  // Nobody is left to ask if it is due already: an event will bring more.
+  // If a fetch is already due, no peer is left to fetch from. The next event
+  // will call this function again.
   if (is_behind && next > now && next < base::Instant::max())
     newer_timer_ = loop_.CallAt(next, [this] { FetchNewer(); });
 }
--- a/src/libs/fleet_configuration/configuration_fetcher.h
+++ b/src/libs/fleet_configuration/configuration_fetcher.h
@@ -1,5 +1,5 @@
-// Gets newer configurations from other nodes, by the control call
-// configuration.fetch. Runs on the control thread.
+// Fetches newer configurations from peers by the control call
+// configuration.fetch. Used on the control thread only.
 #ifndef FLEET_CONFIGURATION_CONFIGURATION_FETCHER_H_
 #define FLEET_CONFIGURATION_CONFIGURATION_FETCHER_H_
 
@@ -18,9 +18,9 @@
 
 namespace chestnutport::fleet_configuration {
 
-// Asks nodes that were heard to hold a newer revision, as FetchScheduler says;
-// and, now and then, any other node, so that an announcement that got lost
-// costs only time.
+// Fetches from peers that reported a newer revision, as selected by
+// FetchScheduler. Also fetches from a random peer at intervals, so that a lost
+// announcement only delays a revision.
 class ConfigurationFetcher {
  public:
   using ApplyHandler = std::function<configuration::ApplyResult(
@@ -28,7 +28,7 @@
       const configuration::Head& head,
       const configuration::Documents&)>;
 
-  // All must outlive the fetcher.
+  // The references must outlive the fetcher.
   ConfigurationFetcher(net::EventLoop& loop,
                        control_calls::ControlCaller& caller,
                        const configuration::LocalConfiguration& local,
@@ -41,7 +41,7 @@
                   const std::vector<membership::Member>& members);
   void OnRevisionReported(uint64_t revision, const membership::Member& from);
 
-  // The greatest revision that any member was heard to hold.
+  // Returns the greatest revision that any peer has reported.
   uint64_t GreatestReportedRevision() const {
     return scheduler_.GreatestReportedRevision();
   }
@@ -62,7 +62,7 @@
   base::Random& random_;
   ApplyHandler apply_;
   configuration::FetchScheduler scheduler_;
-  bool fetch_all_ = false;  // The last answer was not enough.
+  bool fetch_all_ = false;  // The last response was incomplete.
   base::Duration interval_;
   net::EventLoop::TimerId timer_ = 0;
   net::EventLoop::TimerId newer_timer_ = 0;
--- a/src/libs/fleet_configuration/configuration_format.h
+++ b/src/libs/fleet_configuration/configuration_format.h
@@ -1,4 +1,4 @@
-// The form in which the store holds what operators confirmed.
+// Encoding of the confirmed configuration in the store.
 #ifndef FLEET_CONFIGURATION_CONFIGURATION_FORMAT_H_
 #define FLEET_CONFIGURATION_CONFIGURATION_FORMAT_H_
 
@@ -14,8 +14,8 @@
 
 namespace chestnutport::fleet_configuration {
 
-// What one entry of the store says: a head, and those of its documents that
-// came along.
+// The content of one entry in the store: a head, and the documents that are
+// embedded in the entry.
 struct PublishedHead {
   configuration::Head head;
   configuration::Documents documents;
@@ -26,19 +26,20 @@
                                        std::string_view text,
                                        uint64_t revision,
                                        declarations::DeclarationTexts texts) {
-  // The key of the entry that changes with each confirmation.
+  // Returns the key of the entry that changes with each confirmation.
   { format.HeadKey() } -> std::same_as<std::string>;
-  // Nothing if the entry's value cannot be read.
+  // Returns nothing if the value of the entry cannot be parsed.
   { format.ReadHead(text) } -> std::same_as<std::optional<PublishedHead>>;
-  // The declarations in force.
+  // Returns the configuration made of `texts`.
   {
     format.Parse(revision, texts)
     } -> std::same_as<declarations::Configuration>;
-  // Whether nodes write the head and its documents; if not, operators do.
+  // Whether nodes write the head and its documents. Otherwise operators write
+  // them to the store directly.
   { format.IsWrittenByNodes() } -> std::same_as<bool>;
 };
 
-// Any ConfigurationFormat, by value.
+// Type-erased ConfigurationFormat.
 struct AnyConfigurationFormat {
   template <ConfigurationFormat Form>
   static AnyConfigurationFormat Of(const Form& format) {
--- a/src/libs/fleet_configuration/configuration_manager.cc
+++ b/src/libs/fleet_configuration/configuration_manager.cc
@@ -101,7 +101,8 @@
   LogEvent(Event::kConfigurationConfirmed,
            {{"revision", absl::StrCat(finish.revision)},
             {"by", request.confirmed_by}});
-  // Incomplete if others have confirmed since; the reader will see to it.
+  // Incomplete if other plans were confirmed since. In that case the reader
+  // applies the configuration.
   Apply(finish.head, configuration::MakeDocuments(request.texts),
         kFromOperator);
 }
--- a/src/libs/fleet_configuration/configuration_manager.h
+++ b/src/libs/fleet_configuration/configuration_manager.h
@@ -1,5 +1,6 @@
-// Keeps this node's configuration: takes newer ones from the store and from
-// peers, and confirms what operators ask for. Runs on the control thread.
+// Maintains this node's configuration: applies newer revisions from the store
+// and from peers, and runs the confirmations of operators. Used on the control
+// thread only.
 #ifndef FLEET_CONFIGURATION_CONFIGURATION_MANAGER_H_
 #define FLEET_CONFIGURATION_CONFIGURATION_MANAGER_H_
 
@@ -29,11 +30,11 @@
 
 class ConfigurationManager {
  public:
-  // Called with each revision that comes into force here.
+  // Called with each revision that comes into force on this node.
   using ChangedHandler = std::function<void(uint64_t revision)>;
   using ConfirmHandler = ConfigurationConfirmer::DoneHandler;
 
-  // All but `form` and `random` must outlive the keeper.
+  // All but `format` and `random` must outlive the manager.
   ConfigurationManager(net::EventLoop& loop,
                        store::StoreClient& store,
                        control_calls::ControlListener& listener,
@@ -47,10 +48,10 @@
   void Start(ChangedHandler changed);
   void SetMembers(const membership::Member& self,
                   const std::vector<membership::Member>& members);
-  // `from` was heard to hold `revision`.
+  // Called when `from` has announced that it holds `revision`.
   void OnRevisionReported(uint64_t revision, const membership::Member& from);
 
-  // Confirms a plan; `handler` is told the truth as far as it is known.
+  // Confirms a plan. `handler` receives the outcome as far as it is known.
   void Confirm(const configuration::ConfirmRequest& request,
                ConfirmHandler handler);
 
@@ -62,14 +63,16 @@
   }
   const configuration::LocalConfiguration& local() const { return local_; }
   bool is_reader() const { return reader_.is_reader(); }
-  // For how long a newer revision than the one in force has been known.
+  // Returns for how long a newer revision than the one in force has been known;
+  // zero if none is.
   base::Duration Behind() const;
-  // Since the store last said which revision it holds; nothing if this node
-  // does not read it, or has not heard from it yet.
+  // Returns the time since the last successful response of the store; nothing
+  // if this node is not a reader or has not had a response yet. Exported as
+  // chestnutport_store_word_age_seconds.
   std::optional<base::Duration> StoreStaleness() const;
 
  private:
-  // `source`: who offers it, for the log.
+  // Applies a newer configuration and puts it into force. `source` is logged.
   configuration::ApplyResult Apply(const configuration::Head& head,
                                    const configuration::Documents& documents,
                                    const std::string& source);
--- a/src/libs/fleet_configuration/configuration_reader.cc
+++ b/src/libs/fleet_configuration/configuration_reader.cc
@@ -48,10 +48,11 @@
     const std::vector<membership::Member>& members) {
   using configuration::ReadTrigger;
   const ReadTrigger reason = role_.SetMembers(self, members);
-  // A store that serves nobody is not asked each time that one more finds out.
-  const bool knows =
+  // A node that has lost the store itself does not read again each time that a
+  // short-watch reader loses it too.
+  const bool is_known_lost =
       has_lost_store_ && reason == ReadTrigger::kShortWatchReaderLostStore;
-  if (reason == ReadTrigger::kNone || knows || is_reading_)
+  if (reason == ReadTrigger::kNone || is_known_lost || is_reading_)
     return;
   watch_.Abandon();
   must_read_once_ = true;
@@ -95,7 +96,7 @@
     ReadDocuments(head);
     return;
   }
-  // Where operators write the head, what is held is never put in its place.
+  // A head that operators write is never replaced.
   const auto repaired = store_.format().is_written_by_nodes
                             ? configuration::RepairStore(head, local_.head())
                             : std::nullopt;
@@ -106,7 +107,8 @@
 }
 
 void ConfigurationReader::ContinueRound() {
-  // After a start each node takes itself for a reader until it knows the fleet.
+  // Until a starting node knows the fleet it considers itself a reader, so the
+  // first read is not followed by a watch.
   const bool is_settled = std::exchange(has_read_, true);
   if (is_settled && ShouldRead() && store_revision_ > 0 && store_.CanWatch()) {
     UpdateStoreState(false);
@@ -143,10 +145,10 @@
     const base::Result<ConfigurationStore::WatchResult>& watched) {
   isolation_.Check(fleet_.heard_at(), loop_.now());
   if (!watched) {
-    const bool is_silent = loop_.now() >= watch_deadline_;
-    if (is_silent)
+    const bool is_timed_out = loop_.now() >= watch_deadline_;
+    if (is_timed_out)
       UpdateStoreState(true);
-    // Changes may have been missed: what lies there is read.
+    // Changes may have been missed, so the head is read again.
     Schedule(configuration::ReadTiming::RereadDelay(random_));
     return;
   }
@@ -184,7 +186,8 @@
   }
   const configuration::SwapHead swap{stored.store_revision, repaired};
   const uint64_t found_revision = stored.head.revision;
-  // Also those that the stored head names: a copy may lack any of them.
+  // Also the documents that the stored head names: a restored store may lack
+  // any of them.
   store_.WriteDocuments(documents, [this, swap, found_revision](bool written) {
     if (!written) {
       FinishRound(true);
--- a/src/libs/fleet_configuration/configuration_reader.h
+++ b/src/libs/fleet_configuration/configuration_reader.h
@@ -1,6 +1,6 @@
-// ShouldRead the head from the store while this node is one of its data
-// centre's readers or hears of no other node, and writes a newer one back. Runs
-// on the control thread.
+// Polls and watches the head in the store while this node is a reader of its
+// data centre or is isolated. Writes a newer head back if the store holds an
+// older one. Used on the control thread only.
 #ifndef FLEET_CONFIGURATION_CONFIGURATION_READER_H_
 #define FLEET_CONFIGURATION_CONFIGURATION_READER_H_
 
@@ -22,20 +22,21 @@
 
 class ConfigurationReader {
  public:
-  // Offers what was read to the keeper.
+  // Called with a newer head that was read, and its documents.
   using ApplyHandler = std::function<void(const configuration::Head& head,
                                           const configuration::Documents&)>;
 
-  // How this node is in touch with the others.
+  // This node's link to the rest of the fleet.
   struct FleetCallbacks {
-    // When another node was last heard; nothing: never.
+    // Returns when any other node last made contact; nothing if never.
     std::function<std::optional<base::Instant>()> heard_at;
-    // Tells the others that this node has lost the store, or has it again.
+    // Informs the other nodes that this node has lost the store, or can reach
+    // it again.
     std::function<void(bool has_lost)> report_store_lost;
   };
 
-  // The references must outlive the reader. `max_read_interval`: between two
-  // tries while the store fails.
+  // The references must outlive the reader. `max_read_interval` limits the
+  // delay between two reads while the store fails.
   ConfigurationReader(net::EventLoop& loop,
                       ConfigurationStore& store,
                       const configuration::LocalConfiguration& local,
@@ -50,25 +51,27 @@
                   const std::vector<membership::Member>& members);
 
   bool is_reader() const { return role_.is_reader(); }
-  // When the store last said which head it holds; nothing if it never did.
+  // Returns when the store last responded; nothing if it never did.
   std::optional<base::Instant> last_store_contact() const {
     return last_store_contact_;
   }
 
  private:
-  // Whether the store is to be read by this node.
+  // Whether this node has to read the store.
   bool ShouldRead() const {
     return role_.is_reader() || isolation_.is_isolated();
   }
   void Schedule(base::Duration wait);
-  // ShouldRead if this node is to; else finds out soon whether it is by then.
+  // Starts a read if this node has to read; otherwise checks again after a
+  // short delay.
   void ReadIfDue();
   void Watch();
   void OnWatchEnded(
       const base::Result<ConfigurationStore::WatchResult>& watched);
-  // After a head that is held: waits for the next one, or reads in a while.
+  // Continues after the stored head was found to be applied: starts a watch, or
+  // schedules the next read.
   void ContinueRound();
-  // The same after a change.
+  // The same after a change. A reader with long watches delays its next watch.
   void ContinueAfterChange();
   void Read();
   void OnHead(const base::Result<configuration::StoredHead>& stored);
@@ -76,9 +79,10 @@
   void Repair(const configuration::StoredHead& stored,
               const configuration::Head& repaired);
   void FinishRound(bool failed);
-  // Notes whether the store answers, and tells of a change.
+  // Records whether the store responds, and reports a change to the fleet.
   void UpdateStoreState(bool has_lost);
-  // While this node does not read, nothing is known of its way to the store.
+  // Clears the state of the store, which is unknown while this node does not
+  // read it.
   void ResetStoreState();
 
   net::EventLoop& loop_;
@@ -90,18 +94,17 @@
   configuration::ReadTiming timing_;
   configuration::IsolationDetector isolation_;
   configuration::ReaderRole role_;
-  int64_t store_revision_ = 0;  // The store's revision as of which it was read.
+  int64_t store_revision_ = 0;  // The store's revision at the last read.
   net::EventLoop::TimerId timer_ = 0;
-  // Runs out when a reading takes longer than kSlowReadThreshold.
+  // Expires when a read takes longer than kSlowReadThreshold.
   net::EventLoop::TimerId slow_read_timer_ = 0;
   configuration::CurrentWatch watch_;
-  base::Instant
-      watch_deadline_;  // The open watch has lost its connection then.
+  base::Instant watch_deadline_;  // When the current watch counts as lost.
   std::optional<base::Instant> last_store_contact_;
-  bool has_read_ = false;    // Since the start.
-  bool is_reading_ = false;  // Ends with a watch or a wait.
+  bool has_read_ = false;    // Since the start of the node.
+  bool is_reading_ = false;  // Until a watch or a delay begins.
   bool must_read_once_ =
-      false;  // NextReadDelay, whether or not it has the duty.
+      false;  // At the next ReadIfDue(), even if it is no reader.
   bool has_lost_store_ = false;
 };
 
--- a/src/libs/fleet_configuration/configuration_store.cc
+++ b/src/libs/fleet_configuration/configuration_store.cc
@@ -20,7 +20,7 @@
 constexpr store::LeaseId kNoLease = 0;
 constexpr int64_t kNoEntry = 0;
 
-// What is gathered from several calls at once.
+// State of several concurrent calls.
 struct Batch {
   size_t outstanding = 0;
   bool failed = false;
@@ -143,7 +143,7 @@
   store_.CompareAndSwap(
       key, kNoEntry, text, kNoLease,
       [this, key, handler = std::move(handler)](base::Result<bool> written) {
-        // A plain no means that it is there.
+        // A failed comparison means that the document exists already.
         if (written ||
             base::KindOf(written.error()) != ErrorKind::kStoreOutcomeUnknown) {
           handler(written.has_value());
--- a/src/libs/fleet_configuration/configuration_store.h
+++ b/src/libs/fleet_configuration/configuration_store.h
@@ -1,5 +1,5 @@
-// The configuration in the platform's store: one head, and documents under
-// their hash. Runs on the control thread.
+// Access to the configuration in the platform's store: one head, and documents
+// under their hashes. Used on the control thread only.
 #ifndef FLEET_CONFIGURATION_CONFIGURATION_STORE_H_
 #define FLEET_CONFIGURATION_CONFIGURATION_STORE_H_
 
@@ -25,7 +25,7 @@
       std::function<void(base::Result<configuration::StoredHead>)>;
   struct WatchResult {
     std::optional<configuration::StoredHead> head;
-    int64_t as_of = 0;  // Where to go on from.
+    int64_t as_of = 0;  // Where the next watch starts.
   };
   using WatchHandler = std::function<void(base::Result<WatchResult>)>;
   using DocumentsHandler =
@@ -39,22 +39,23 @@
                      const std::string& fleet);
 
   const AnyConfigurationFormat& format() const { return format_; }
-  // Whether WatchHead() can be used.
+  // Whether the store supports WatchHead().
   bool CanWatch() const { return store_.CanWatch(); }
-  // Waits as long as `times` says for a head newer than the one that was read
-  // as of the store's revision `after`; nothing if there was none. The error
-  // kStoreUnavailable also says that changes may have been missed.
+  // Waits up to `times.wait` for a change of the head after the store's
+  // revision `after`. The result has no head if there was no change. The error
+  // kStoreUnavailable is also returned if changes may have been missed.
   void WatchHead(int64_t after,
                  const configuration::WatchDurations& times,
                  WatchHandler handler);
 
-  // No head is revision zero; something that is no head is an error, so that
-  // it is never written over.
+  // Returns a head of revision zero if there is none. An entry that cannot be
+  // parsed is an error, so that it is never overwritten.
   void ReadHead(HeadHandler handler);
-  // Reads those of `hashes` that the store has. An error if any read failed.
+  // Reads the documents with `hashes` that the store holds. Returns an error if
+  // any read failed.
   void ReadDocuments(const std::vector<std::string>& hashes,
                      const DocumentsHandler& handler);
-  // Those that are there already are left alone.
+  // Writes the documents that the store does not hold yet.
   void WriteDocuments(const configuration::Documents& documents,
                       const WrittenHandler& handler);
   void SwapHead(const configuration::SwapHead& swap, SwapHandler handler);
@@ -69,7 +70,7 @@
   store::StoreClient& store_;
   AnyConfigurationFormat format_;
   std::string fleet_;
-  // Documents that came along with the last head.
+  // Documents embedded in the entry of the last head.
   configuration::Documents inline_documents_;
 };
 
--- a/tests/auto/fleet_configuration/configuration_fetcher_test.cc
+++ b/tests/auto/fleet_configuration/configuration_fetcher_test.cc
@@ -1,4 +1,6 @@
-// How a node gets a configuration from others, some of which never answer.
+// Fetching a configuration from peers, some of which never respond. Guards
+// against an unresponsive peer or a lost connection delaying a revision until a
+// time-out.
 #include "fleet_configuration/configuration_fetcher.h"
 
 #include <catch2/catch.hpp>
@@ -22,8 +24,8 @@
 constexpr uint64_t kOld = 1;
 constexpr uint64_t kNew = 2;
 constexpr uint64_t kNewer = 3;
-// As long as the fetcher waits for an answer.
-constexpr base::Duration kGivenUp = std::chrono::seconds(2);
+// Time after which the fetcher gives up on a response.
+constexpr base::Duration kTimeout = std::chrono::seconds(2);
 const control_calls::PeerKeys kKeys{.current = "key", .previous = ""};
 const base::SocketAddress kAnyPort = *base::SocketAddress::Parse("127.0.0.1:0");
 
@@ -41,11 +43,11 @@
   return head;
 }
 
-// Hands out what it holds.
-class Neighbour {
+// A peer that serves its configuration.
+class Peer {
  public:
-  Neighbour(net::EventLoop& loop, uint64_t revision) : listener_(loop, kKeys) {
-    Take(revision);
+  Peer(net::EventLoop& loop, uint64_t revision) : listener_(loop, kKeys) {
+    Apply(revision);
     listener_.Add(configuration::kFetchMethod, [this](const auto& params) {
       const auto request = configuration::FetchRequest::FromJson(params);
       return configuration::MakeFetchResponse(*request, local_, packed_)
@@ -55,7 +57,7 @@
   }
 
   const base::SocketAddress& address() const { return listener_.address(); }
-  void Take(uint64_t revision) {
+  void Apply(uint64_t revision) {
     local_.Apply(HeadOf(revision), DocumentsOf(revision));
   }
 
@@ -65,60 +67,58 @@
   configuration::PackedDocumentCache packed_;
 };
 
-// One node that asks, beside neighbours that answer and some that accept
-// connections and say nothing.
-class Scene {
+// A node that fetches, peers that respond, and peers that accept connections
+// but never respond.
+class FetcherFixture {
  public:
-  Scene() : caller_(loop_, kKeys) {
+  FetcherFixture() : caller_(loop_, kKeys) {
     local_.Apply(HeadOf(kOld), DocumentsOf(kOld));
     self_.id = base::NodeId::Draw(random_);
     fetcher_ = std::make_unique<ConfigurationFetcher>(
         loop_, caller_, local_, random_,
         [this](base::NodeId, const Head& head, const Documents& documents) {
-          return OnOffer(head, documents);
+          return OnUpdate(head, documents);
         });
   }
 
-  Member AddSilent() {
+  Member AddUnresponsivePeer() {
     auto socket = net::ListeningSocket::Open(kAnyPort);
     REQUIRE(socket);
-    silent_.push_back(std::move(socket).value());
-    return AddMember(silent_.back().address());
+    unresponsive_.push_back(std::move(socket).value());
+    return AddMember(unresponsive_.back().address());
   }
-  // Behind a relay that is silenced before the next revision.
-  Member AddRelayedNeighbour(uint64_t revision) {
-    neighbours_.push_back(std::make_unique<Neighbour>(loop_, revision));
-    relay_ = std::make_unique<test::Relay>(neighbours_.back()->address());
+  // Adds a peer behind a relay whose connections can be silenced.
+  Member AddRelayedPeer(uint64_t revision) {
+    peers_.push_back(std::make_unique<Peer>(loop_, revision));
+    relay_ = std::make_unique<test::Relay>(peers_.back()->address());
     return AddMember(relay_->address());
   }
   void SilenceOpenConnections() { relay_->SilenceOpenConnections(); }
-  void TakeAtNeighbour(uint64_t revision) {
-    neighbours_.back()->Take(revision);
-  }
-  // Ends the run when a question to a silent node, asked now, is given up.
-  void RunUntilGivenUp() {
-    const Member silent = AddSilent();
-    caller_.Call(silent.control_address, configuration::kFetchMethod, "{}",
-                 kGivenUp, [this](const auto&) { loop_.Stop(); });
+  void ApplyAtPeer(uint64_t revision) { peers_.back()->Apply(revision); }
+  // Runs until a call to an unresponsive peer that starts now times out.
+  void RunUntilTimeout() {
+    const Member unresponsive = AddUnresponsivePeer();
+    caller_.Call(unresponsive.control_address, configuration::kFetchMethod,
+                 "{}", kTimeout, [this](const auto&) { loop_.Stop(); });
     Run();
   }
-  Member AddNeighbour(uint64_t revision) {
-    neighbours_.push_back(std::make_unique<Neighbour>(loop_, revision));
-    return AddMember(neighbours_.back()->address());
+  Member AddPeer(uint64_t revision) {
+    peers_.push_back(std::make_unique<Peer>(loop_, revision));
+    return AddMember(peers_.back()->address());
   }
   void Start() {
     fetcher_->SetMembers(self_, members_);
     fetcher_->Start();
   }
-  void Hear(uint64_t revision, const Member& from) {
+  void ReportRevision(uint64_t revision, const Member& from) {
     fetcher_->OnRevisionReported(revision, from);
   }
-  // Until the new revision is in force.
+  // Runs until a new revision is applied.
   void Run() { loop_.Run(); }
 
   uint64_t local() const { return local_.head().revision; }
-  // Questions that were open when the new revision came.
-  std::optional<size_t> open_questions() const { return open_questions_; }
+  // Calls that were pending when the new revision was applied.
+  std::optional<size_t> pending_calls() const { return pending_calls_; }
 
  private:
   Member AddMember(const base::SocketAddress& address) {
@@ -128,15 +128,15 @@
     members_.push_back(member);
     return member;
   }
-  configuration::ApplyResult OnOffer(const Head& head,
-                                     const Documents& documents) {
-    const auto adoption = local_.Apply(head, documents);
-    if (adoption == configuration::ApplyResult::kApplied) {
-      // The one that brought it is done.
-      open_questions_ = caller_.open_calls();
+  configuration::ApplyResult OnUpdate(const Head& head,
+                                      const Documents& documents) {
+    const auto result = local_.Apply(head, documents);
+    if (result == configuration::ApplyResult::kApplied) {
+      // The call that returned the revision has ended.
+      pending_calls_ = caller_.open_calls();
       loop_.Stop();
     }
-    return adoption;
+    return result;
   }
   net::EventLoop loop_;
   control_calls::ControlCaller caller_;
@@ -144,57 +144,58 @@
   LocalConfiguration local_;
   Member self_;
   std::vector<Member> members_;
-  std::vector<net::ListeningSocket> silent_;
-  std::vector<std::unique_ptr<Neighbour>> neighbours_;
+  std::vector<net::ListeningSocket> unresponsive_;
+  std::vector<std::unique_ptr<Peer>> peers_;
   std::unique_ptr<test::Relay> relay_;
   std::unique_ptr<ConfigurationFetcher> fetcher_;
-  std::optional<size_t> open_questions_;
+  std::optional<size_t> pending_calls_;
 };
 
-TEST_CASE("a node that does not answer keeps no configuration from another") {
-  Scene scene;
-
-  SECTION("when it told of the revision, and went silent") {
-    const Member silent = scene.AddSilent();
-    const Member neighbour = scene.AddNeighbour(kNew);
-    scene.Hear(kNew, silent);
-    scene.Hear(kNew, neighbour);
-    scene.Run();
-    CHECK(scene.local() == kNew);
-    CHECK(scene.open_questions().value_or(0) == 1);
-  }
-  SECTION("when it was asked before there was a new revision") {
-    scene.AddSilent();
-    scene.Start();
-    scene.Hear(kNew, scene.AddNeighbour(kNew));
-    scene.Run();
-    CHECK(scene.local() == kNew);
-    CHECK(scene.open_questions().value_or(0) == 1);
-  }
-  SECTION("when several are silent, and only one of those that told is left") {
-    const std::vector<Member> silent = {scene.AddSilent(), scene.AddSilent()};
-    const Member neighbour = scene.AddNeighbour(kNew);
-    for (const Member& member : silent)
-      scene.Hear(kNew, member);
-    scene.Hear(kNew, neighbour);
-    scene.Run();
-    CHECK(scene.local() == kNew);
-    CHECK(scene.open_questions().value_or(0) >= 1);
+TEST_CASE("an unresponsive peer does not delay a configuration") {
+  FetcherFixture fixture;
+
+  SECTION("if it announced the revision before it became unresponsive") {
+    const Member unresponsive = fixture.AddUnresponsivePeer();
+    const Member peer = fixture.AddPeer(kNew);
+    fixture.ReportRevision(kNew, unresponsive);
+    fixture.ReportRevision(kNew, peer);
+    fixture.Run();
+    CHECK(fixture.local() == kNew);
+    CHECK(fixture.pending_calls().value_or(0) == 1);
+  }
+  SECTION("if a fetch was pending before there was a new revision") {
+    fixture.AddUnresponsivePeer();
+    fixture.Start();
+    fixture.ReportRevision(kNew, fixture.AddPeer(kNew));
+    fixture.Run();
+    CHECK(fixture.local() == kNew);
+    CHECK(fixture.pending_calls().value_or(0) == 1);
+  }
+  SECTION("if all but one of the announcing peers are unresponsive") {
+    const std::vector<Member> unresponsive = {fixture.AddUnresponsivePeer(),
+                                              fixture.AddUnresponsivePeer()};
+    const Member peer = fixture.AddPeer(kNew);
+    for (const Member& member : unresponsive)
+      fixture.ReportRevision(kNew, member);
+    fixture.ReportRevision(kNew, peer);
+    fixture.Run();
+    CHECK(fixture.local() == kNew);
+    CHECK(fixture.pending_calls().value_or(0) >= 1);
   }
 }
 
-TEST_CASE("a kept connection that went silent delays no configuration") {
-  Scene scene;
-  const Member neighbour = scene.AddRelayedNeighbour(kNew);
-  scene.Hear(kNew, neighbour);
-  scene.Run();
-  REQUIRE(scene.local() == kNew);
-
-  scene.SilenceOpenConnections();
-  scene.TakeAtNeighbour(kNewer);
-  scene.Hear(kNewer, neighbour);
-  scene.RunUntilGivenUp();
-  CHECK(scene.local() == kNewer);
+TEST_CASE("a silent persistent connection does not delay a configuration") {
+  FetcherFixture fixture;
+  const Member peer = fixture.AddRelayedPeer(kNew);
+  fixture.ReportRevision(kNew, peer);
+  fixture.Run();
+  REQUIRE(fixture.local() == kNew);
+
+  fixture.SilenceOpenConnections();
+  fixture.ApplyAtPeer(kNewer);
+  fixture.ReportRevision(kNewer, peer);
+  fixture.RunUntilTimeout();
+  CHECK(fixture.local() == kNewer);
 }
 
 }  // namespace
--- a/tests/auto/fleet_configuration/configuration_reader_test.cc
+++ b/tests/auto/fleet_configuration/configuration_reader_test.cc
@@ -1,5 +1,6 @@
-// Which nodes ask the store for the configuration, and when. Counts calls; a
-// limit is a timer of the same loop, set together with what it is compared to.
+// Which nodes read the configuration from the store, and when. Counts calls.
+// Time limits are timers of the same event loop, started together with the
+// operation that they limit.
 #include "fleet_configuration/configuration_reader.h"
 
 #include <catch2/catch.hpp>
@@ -21,11 +22,11 @@
 using membership::Member;
 using membership::MemberState;
 
-// More than read the store.
+// More than in a small fleet, where every node is a reader.
 constexpr size_t kNodes = configuration::kSmallFleetSize + 4;
 constexpr std::chrono::seconds kTimeout(2);
 
-// A store without any entry, which holds watches.
+// A store without entries that keeps watches open.
 class EmptyStore {
  public:
   explicit EmptyStore(net::EventLoop& loop)
@@ -40,12 +41,12 @@
 
   const base::SocketAddress& address() const { return server_->address(); }
 
-  // The time of all watches is up, without news.
+  // Ends all watches without a change.
   void EndWatches() {
-    for (net::Reply& reply : std::exchange(held_, {}))
+    for (net::Reply& reply : std::exchange(pending_watches_, {}))
       reply.Send({.body = R"({"events": [], "asOf": 7})"});
   }
-  // All watches are told of a next revision.
+  // Ends all watches with a new revision.
   void Change() {
     configuration::Head head;
     head.revision = ++revision_;
@@ -54,14 +55,15 @@
                                   {"revision", 7 + revision_}};
     const nlohmann::json body = {{"events", nlohmann::json::array({event})},
                                  {"asOf", 7 + revision_}};
-    for (net::Reply& reply : std::exchange(held_, {}))
+    for (net::Reply& reply : std::exchange(pending_watches_, {}))
       reply.Send({.body = body.dump()});
   }
-  // From now on calls are answered so; zero: never. Unset: as usual.
+  // Status of all further responses; zero if there are none. Unset for normal
+  // operation.
   std::optional<int> failure;
-  // Answers the calls that were left without an answer.
-  void AnswerReads() {
-    for (net::Reply& reply : std::exchange(unanswered_, {}))
+  // Responds to the reads that are still pending.
+  void CompletePendingReads() {
+    for (net::Reply& reply : std::exchange(pending_reads_, {}))
       reply.Send({.status = 404, .body = R"({"asOf": 7})"});
   }
 
@@ -72,12 +74,12 @@
   void OnRequest(const net::HttpRequest& request, net::Reply reply) {
     if (request.target.find("kv-watch") != std::string::npos) {
       ++watches;
-      held_.push_back(std::move(reply));
+      pending_watches_.push_back(std::move(reply));
       return;
     }
     ++reads;
     if (failure == 0)
-      unanswered_.push_back(std::move(reply));
+      pending_reads_.push_back(std::move(reply));
     else if (failure)
       reply.Send({.status = *failure});
     else
@@ -85,14 +87,14 @@
   }
 
   std::unique_ptr<net::HttpServer> server_;
-  std::vector<net::Reply> held_;
+  std::vector<net::Reply> pending_watches_;
   uint64_t revision_ = 0;
-  std::vector<net::Reply> unanswered_;
+  std::vector<net::Reply> pending_reads_;
 };
 
-class Scene {
+class ReaderFixture {
  public:
-  Scene()
+  ReaderFixture()
       : store_(loop_),
         http_(loop_, {}),
         client_(http_,
@@ -106,12 +108,12 @@
         reader_(
             loop_,
             configuration_,
-            held_,
+            local_,
             random_,
             std::chrono::seconds(1),
             {.heard_at = [this] { return heard_at ? heard_at : loop_.now(); },
              .report_store_lost =
-                 [this](bool lost) { told_lost.push_back(lost); }},
+                 [this](bool lost) { reported_lost.push_back(lost); }},
             [](const auto&, const auto&) {}) {
     for (size_t i = 0; i < kNodes; ++i) {
       Member member;
@@ -121,11 +123,11 @@
     }
   }
 
-  // Starts the reader as the first member of which `holds` is true.
+  // Starts the reader as the last member for which `condition` is true.
   template <typename Condition>
-  void StartAs(Condition holds) {
+  void StartAs(Condition condition) {
     for (const Member& member : members) {
-      if (holds(member))
+      if (condition(member))
         self_ = member;
     }
     SetMembers();
@@ -134,22 +136,22 @@
   void SetMembers() { reader_.SetMembers(self_, members); }
 
   template <typename Condition>
-  bool HoldsWithin(base::Duration limit, Condition holds) {
+  bool IsMetWithin(base::Duration limit, Condition condition) {
     bool is_over = false;
     const auto timer = loop_.CallAfter(limit, [&] { is_over = true; });
-    while (!is_over && !holds()) {
+    while (!is_over && !condition()) {
       loop_.CallAfter(std::chrono::milliseconds(10), [this] { loop_.Stop(); });
       loop_.Run();
     }
     loop_.Cancel(timer);
-    return holds();
+    return condition();
   }
 
   EmptyStore& store() { return store_; }
 
   std::vector<Member> members;
-  std::optional<base::Instant> heard_at;  // Nothing: all the time.
-  std::vector<bool> told_lost;            // What others were told, in order.
+  std::optional<base::Instant> heard_at;  // Unset for permanent contact.
+  std::vector<bool> reported_lost;  // Reports to the other nodes, in order.
 
  private:
   net::EventLoop loop_;
@@ -157,34 +159,34 @@
   net::HttpClient http_;
   store::StoreClient client_;
   ConfigurationStore configuration_;
-  configuration::LocalConfiguration held_;
+  configuration::LocalConfiguration local_;
   base::Random random_{1};
   Member self_;
   ConfigurationReader reader_;
 };
 
-TEST_CASE("a node that is no reader of its data centre") {
-  Scene scene;
-  scene.StartAs([&](const Member& member) {
-    return !configuration::ReaderSelection(scene.members).IsReader(member);
+TEST_CASE("a node that is not a reader of its data centre") {
+  ReaderFixture fixture;
+  fixture.StartAs([&](const Member& member) {
+    return !configuration::ReaderSelection(fixture.members).IsReader(member);
   });
 
-  SECTION("does not ask the store while it hears from others") {
-    CHECK_FALSE(scene.HoldsWithin(std::chrono::seconds(3),
-                                  [&] { return scene.store().reads > 0; }));
+  SECTION("does not read the store while it has contact with others") {
+    CHECK_FALSE(fixture.IsMetWithin(std::chrono::seconds(3),
+                                    [&] { return fixture.store().reads > 0; }));
   }
-  SECTION("asks when it hears from nobody, though none counts as lost yet") {
-    scene.heard_at = base::Clock::now();
-    CHECK(scene.HoldsWithin(std::chrono::seconds(2),
-                            [&] { return scene.store().reads > 0; }));
-    CHECK(scene.HoldsWithin(std::chrono::seconds(2),
-                            [&] { return scene.store().watches > 0; }));
-    SECTION("and no more once it hears from one") {
-      scene.heard_at.reset();
-      const int reads = scene.store().reads;
-      scene.store().EndWatches();
-      CHECK_FALSE(scene.HoldsWithin(std::chrono::seconds(2), [&] {
-        return scene.store().watches > 1 || scene.store().reads > reads;
+  SECTION("reads when it is isolated, before the others count as failed") {
+    fixture.heard_at = base::Clock::now();
+    CHECK(fixture.IsMetWithin(std::chrono::seconds(2),
+                              [&] { return fixture.store().reads > 0; }));
+    CHECK(fixture.IsMetWithin(std::chrono::seconds(2),
+                              [&] { return fixture.store().watches > 0; }));
+    SECTION("and stops after the next contact") {
+      fixture.heard_at.reset();
+      const int reads = fixture.store().reads;
+      fixture.store().EndWatches();
+      CHECK_FALSE(fixture.IsMetWithin(std::chrono::seconds(2), [&] {
+        return fixture.store().watches > 1 || fixture.store().reads > reads;
       }));
     }
   }
@@ -192,129 +194,131 @@
 
 TEST_CASE("changes in quick succession") {
   constexpr std::chrono::milliseconds kSoon(500);
-  Scene scene;
+  ReaderFixture fixture;
   const auto has_watches = [&](int count) {
-    return [&, count] { return scene.store().watches >= count; };
+    return [&, count] { return fixture.store().watches >= count; };
   };
 
-  SECTION("are heard one by one by an alert reader") {
-    scene.StartAs([&](const Member& member) {
-      return configuration::ReaderSelection(scene.members)
+  SECTION("are all watched by a short-watch reader") {
+    fixture.StartAs([&](const Member& member) {
+      return configuration::ReaderSelection(fixture.members)
           .IsShortWatchReader(member);
     });
-    REQUIRE(scene.HoldsWithin(std::chrono::seconds(30), has_watches(1)));
-    const int before = scene.store().watches;
-    scene.store().Change();
-    CHECK(scene.HoldsWithin(kSoon, has_watches(before + 1)));
+    REQUIRE(fixture.IsMetWithin(std::chrono::seconds(30), has_watches(1)));
+    const int before = fixture.store().watches;
+    fixture.store().Change();
+    CHECK(fixture.IsMetWithin(kSoon, has_watches(before + 1)));
   }
-  SECTION("cost other readers one watch a second, as they are told of them") {
-    scene.StartAs([&](const Member& member) {
-      return configuration::ReaderSelection(scene.members).IsReader(member) &&
-             !configuration::ReaderSelection(scene.members)
+  SECTION("cost other readers at most one watch a second") {
+    fixture.StartAs([&](const Member& member) {
+      return configuration::ReaderSelection(fixture.members).IsReader(member) &&
+             !configuration::ReaderSelection(fixture.members)
                   .IsShortWatchReader(member);
     });
-    REQUIRE(scene.HoldsWithin(std::chrono::seconds(30), has_watches(1)));
-    const int reads = scene.store().reads;
-    scene.store().Change();
-    CHECK_FALSE(scene.HoldsWithin(kSoon, has_watches(2)));
-    CHECK(scene.HoldsWithin(configuration::kDelayAfterChange, has_watches(2)));
-    CHECK(scene.store().reads == reads);
+    REQUIRE(fixture.IsMetWithin(std::chrono::seconds(30), has_watches(1)));
+    const int reads = fixture.store().reads;
+    fixture.store().Change();
+    CHECK_FALSE(fixture.IsMetWithin(kSoon, has_watches(2)));
+    CHECK(
+        fixture.IsMetWithin(configuration::kDelayAfterChange, has_watches(2)));
+    CHECK(fixture.store().reads == reads);
   }
 }
 
-TEST_CASE("a reader that becomes an alert one") {
-  Scene scene;
-  auto without_first = scene.members;
+TEST_CASE("a reader that becomes a short-watch reader") {
+  ReaderFixture fixture;
+  auto without_first = fixture.members;
   for (Member& member : without_first) {
-    if (configuration::ReaderSelection(scene.members)
+    if (configuration::ReaderSelection(fixture.members)
             .IsShortWatchReader(member))
       member.state = MemberState::kSuspected;
   }
-  scene.StartAs([&](const Member& member) {
-    return !configuration::ReaderSelection(scene.members)
+  fixture.StartAs([&](const Member& member) {
+    return !configuration::ReaderSelection(fixture.members)
                 .IsShortWatchReader(member) &&
            configuration::ReaderSelection(without_first)
                .IsShortWatchReader(member);
   });
-  REQUIRE(scene.HoldsWithin(std::chrono::seconds(30),
-                            [&] { return scene.store().watches == 1; }));
-  const int reads = scene.store().reads;
-  scene.members = without_first;
-  scene.SetMembers();
+  REQUIRE(fixture.IsMetWithin(std::chrono::seconds(30),
+                              [&] { return fixture.store().watches == 1; }));
+  const int reads = fixture.store().reads;
+  fixture.members = without_first;
+  fixture.SetMembers();
 
-  SECTION("reads at once, and does not wait for its long watch to end") {
-    CHECK(scene.HoldsWithin(configuration::kMinLongWatch,
-                            [&] { return scene.store().reads > reads; }));
-    CHECK(scene.HoldsWithin(configuration::kMinLongWatch,
-                            [&] { return scene.store().watches > 1; }));
+  SECTION("reads immediately, without waiting for its long watch to end") {
+    CHECK(fixture.IsMetWithin(configuration::kMinLongWatch,
+                              [&] { return fixture.store().reads > reads; }));
+    CHECK(fixture.IsMetWithin(configuration::kMinLongWatch,
+                              [&] { return fixture.store().watches > 1; }));
   }
 }
 
-TEST_CASE("a reader tells the others of its way to the store") {
-  Scene scene;
-  scene.StartAs([&](const Member& member) {
-    return configuration::ReaderSelection(scene.members)
+TEST_CASE("a reader reports the loss of the store") {
+  ReaderFixture fixture;
+  fixture.StartAs([&](const Member& member) {
+    return configuration::ReaderSelection(fixture.members)
         .IsShortWatchReader(member);
   });
-  REQUIRE(scene.HoldsWithin(std::chrono::seconds(30),
-                            [&] { return scene.store().watches > 0; }));
-  CHECK(scene.told_lost.empty());
+  REQUIRE(fixture.IsMetWithin(std::chrono::seconds(30),
+                              [&] { return fixture.store().watches > 0; }));
+  CHECK(fixture.reported_lost.empty());
 
-  SECTION("when its watch is not answered any more") {
-    CHECK(scene.HoldsWithin(std::chrono::seconds(2),
-                            [&] { return !scene.told_lost.empty(); }));
-    SECTION("and that it has the store again, as it reads it") {
-      CHECK(scene.HoldsWithin(std::chrono::seconds(2), [&] {
-        return scene.told_lost == std::vector<bool>{true, false};
+  SECTION("when its watch times out") {
+    CHECK(fixture.IsMetWithin(std::chrono::seconds(2),
+                              [&] { return !fixture.reported_lost.empty(); }));
+    SECTION("and its recovery after the next read") {
+      CHECK(fixture.IsMetWithin(std::chrono::seconds(2), [&] {
+        return fixture.reported_lost == std::vector<bool>{true, false};
       }));
     }
   }
-  SECTION("when its readings are refused") {
-    scene.store().failure = 503;
-    scene.store().EndWatches();
-    CHECK(scene.HoldsWithin(std::chrono::seconds(10), [&] {
-      return scene.told_lost == std::vector<bool>{true};
+  SECTION("when its reads are refused") {
+    fixture.store().failure = 503;
+    fixture.store().EndWatches();
+    CHECK(fixture.IsMetWithin(std::chrono::seconds(10), [&] {
+      return fixture.reported_lost == std::vector<bool>{true};
     }));
   }
-  SECTION("when a reading takes long, before it is given up") {
-    scene.store().failure = 0;
-    const int reads = scene.store().reads;
-    REQUIRE(scene.HoldsWithin(std::chrono::seconds(10),
-                              [&] { return scene.store().reads > reads; }));
-    CHECK(scene.HoldsWithin(kTimeout / 2, [&] {
-      return scene.told_lost == std::vector<bool>{true};
+  SECTION("when a read is slow, before it times out") {
+    fixture.store().failure = 0;
+    const int reads = fixture.store().reads;
+    REQUIRE(fixture.IsMetWithin(std::chrono::seconds(10),
+                                [&] { return fixture.store().reads > reads; }));
+    CHECK(fixture.IsMetWithin(kTimeout / 2, [&] {
+      return fixture.reported_lost == std::vector<bool>{true};
     }));
-    SECTION("and not when it is slow but answers in the end") {
-      scene.store().failure.reset();
-      scene.store().AnswerReads();
-      CHECK(scene.HoldsWithin(kTimeout / 2, [&] {
-        return scene.told_lost == std::vector<bool>{true, false};
+    SECTION("and its recovery when the slow response arrives") {
+      fixture.store().failure.reset();
+      fixture.store().CompletePendingReads();
+      CHECK(fixture.IsMetWithin(kTimeout / 2, [&] {
+        return fixture.reported_lost == std::vector<bool>{true, false};
       }));
     }
   }
 }
 
-TEST_CASE("a reader whose watch is long, as another one loses the store") {
-  Scene scene;
-  scene.StartAs([&](const Member& member) {
-    return configuration::ReaderSelection(scene.members).IsReader(member) &&
-           !configuration::ReaderSelection(scene.members)
+TEST_CASE(
+    "a reader with long watches, when a short-watch reader loses the store") {
+  ReaderFixture fixture;
+  fixture.StartAs([&](const Member& member) {
+    return configuration::ReaderSelection(fixture.members).IsReader(member) &&
+           !configuration::ReaderSelection(fixture.members)
                 .IsShortWatchReader(member);
   });
-  REQUIRE(scene.HoldsWithin(std::chrono::seconds(30),
-                            [&] { return scene.store().watches == 1; }));
-  const int reads = scene.store().reads;
-  const auto alert =
-      std::ranges::find_if(scene.members, [&](const Member& member) {
-        return configuration::ReaderSelection(scene.members)
+  REQUIRE(fixture.IsMetWithin(std::chrono::seconds(30),
+                              [&] { return fixture.store().watches == 1; }));
+  const int reads = fixture.store().reads;
+  const auto short_watch_reader =
+      std::ranges::find_if(fixture.members, [&](const Member& member) {
+        return configuration::ReaderSelection(fixture.members)
             .IsShortWatchReader(member);
       });
-  alert->has_lost_store = true;
-  scene.SetMembers();
+  short_watch_reader->has_lost_store = true;
+  fixture.SetMembers();
 
-  SECTION("reads at once, and finds out whether it is cut off as well") {
-    CHECK(scene.HoldsWithin(configuration::kMinLongWatch,
-                            [&] { return scene.store().reads > reads; }));
+  SECTION("reads immediately to check whether it has lost the store too") {
+    CHECK(fixture.IsMetWithin(configuration::kMinLongWatch,
+                              [&] { return fixture.store().reads > reads; }));
   }
 }
 
