--- a/tests/benchmarks/configuration/configuration_main.cc
+++ b/tests/benchmarks/configuration/configuration_main.cc
@@ -1,4 +1,4 @@
-// What it costs to keep a configuration and to spread it.
+// Measures the cost of maintaining and distributing a configuration.
 #include <string>
 
 #include "absl/flags/flag.h"
--- a/tests/benchmarks/configuration/counted_figures.cc
+++ b/tests/benchmarks/configuration/counted_figures.cc
@@ -21,7 +21,7 @@
 constexpr int kServices = 200;
 constexpr size_t kDocumentBytes = 5000;
 constexpr size_t kDataCentres = 14;
-constexpr std::chrono::seconds kObserved(600);
+constexpr std::chrono::seconds kObservedTime(600);
 
 std::string Document(int service, int version) {
   std::string text = absl::StrCat("; ", service, " ", version, "\n");
@@ -37,9 +37,9 @@
   return texts;
 }
 
-// A fleet's configuration after many confirmations of one service each, and
-// a last one of `changed` services.
-LocalConfiguration Held(int changed) {
+// Returns a configuration after many confirmations of one service each, and a
+// last one of `changed` services.
+LocalConfiguration MakeConfiguration(int changed) {
   Head head;
   DeclarationTexts texts;
   for (int round = 0; round < 60; ++round) {
@@ -61,7 +61,7 @@
 void AddBytes(FigureReport& report) {
   configuration::PackedDocumentCache packed;
   for (const int changed : {1, 10, kServices}) {
-    const LocalConfiguration local = Held(changed);
+    const LocalConfiguration local = MakeConfiguration(changed);
     const uint64_t before = local.head().revision - 1;
     const size_t bytes =
         MakeFetchResponse({before}, local, packed).ToJson().size();
@@ -72,7 +72,7 @@
                 .unit = "B",
                 .at_most = 40000 + 1.1 * documents});
   }
-  const LocalConfiguration local = Held(1);
+  const LocalConfiguration local = MakeConfiguration(1);
   report.Add({.name = "configuration/fetch/nothing-new",
               .value = static_cast<double>(
                   MakeFetchResponse({local.head().revision}, local, packed)
@@ -93,15 +93,18 @@
   return readers;
 }
 
-// Readings a second of one node, once its pace has settled; `failing`: nodes
-// whose readings fail, this one among them.
-double ReadingsPerSecond(size_t failing, bool alone, base::Random& random) {
-  configuration::ReadTiming pace;
+// Returns the reads per second of one node in the steady state. `failing_nodes`
+// is the number of nodes whose reads fail, including this one.
+double ReadsPerSecond(size_t failing_nodes,
+                      bool is_alone,
+                      base::Random& random) {
+  configuration::ReadTiming timing;
   base::Duration at{};
-  int readings = 0;
-  for (; at < kObserved; ++readings)
-    at += pace.NextReadDelay(failing > 0, alone, failing, random);
-  return readings / std::chrono::duration<double>(kObserved).count();
+  int reads = 0;
+  for (; at < kObservedTime; ++reads)
+    at += timing.NextReadDelay(failing_nodes > 0, is_alone, failing_nodes,
+                               random);
+  return reads / std::chrono::duration<double>(kObservedTime).count();
 }
 
 void AddStoreCalls(FigureReport& report) {
@@ -116,22 +119,22 @@
     std::vector<Member> lost = members;
     for (Member& member : lost)
       member.has_lost_store = true;
-    const size_t trying = CountReaders(lost);
+    const size_t retrying = CountReaders(lost);
     const std::string fleet = absl::StrCat("configuration/store/", nodes);
     report.Add({.name = fleet + "/calls-at-rest",
-                .value = readers * ReadingsPerSecond(0, false, random),
+                .value = readers * ReadsPerSecond(0, false, random),
                 .unit = "1/s",
                 .at_most = 28.5});
     report.Add({.name = fleet + "/calls-in-an-outage",
-                .value = static_cast<double>(trying) *
-                         ReadingsPerSecond(trying, false, random),
+                .value = static_cast<double>(retrying) *
+                         ReadsPerSecond(retrying, false, random),
                 .unit = "1/s",
                 .at_most = 5});
-    report.Add({.name = fleet + "/calls-if-no-node-knows-another",
-                .value = static_cast<double>(nodes) *
-                         ReadingsPerSecond(0, true, random),
-                .unit = "1/s",
-                .at_most = 0.1 * static_cast<double>(nodes)});
+    report.Add(
+        {.name = fleet + "/calls-if-no-node-knows-another",
+         .value = static_cast<double>(nodes) * ReadsPerSecond(0, true, random),
+         .unit = "1/s",
+         .at_most = 0.1 * static_cast<double>(nodes)});
   }
 }
 
--- a/tests/benchmarks/configuration/figures.h
+++ b/tests/benchmarks/configuration/figures.h
@@ -1,4 +1,4 @@
-// The figures of the configuration: some counted, some timed.
+// Counted and timed figures of the configuration.
 #ifndef CONFIGURATION_FIGURES_H_
 #define CONFIGURATION_FIGURES_H_
 
@@ -6,11 +6,12 @@
 
 namespace chestnutport::bench {
 
-// Bytes of a head and of fetches, and the fleet's readings of the store in
-// virtual time. These repeat exactly.
+// Adds the sizes of a head and of fetches, and the fleet's reads of the store
+// in virtual time. These are deterministic.
 void AddCountedFigures(FigureReport& report);
 
-// Time from a confirmation to the last of some real nodes. Reported only.
+// Adds the time from a confirmation until all of several real nodes have it in
+// force. These figures have no limits.
 void AddProcessFigures(FigureReport& report);
 
 }  // namespace chestnutport::bench
--- a/tests/benchmarks/configuration/process_figures.cc
+++ b/tests/benchmarks/configuration/process_figures.cc
@@ -24,8 +24,8 @@
 }
 
 struct Times {
-  double confirm = 0;    // From the request to its answer, in seconds.
-  double last_node = 0;  // From the answer until the last node has it.
+  double confirm = 0;    // From the request to its response, in seconds.
+  double last_node = 0;  // From the response until the last node has it.
 };
 
 Times ConfirmOnce(Fleet& fleet, int slots) {
