--- a/src/libs/configuration/confirm_procedure.h
+++ b/src/libs/configuration/confirm_procedure.h
@@ -1,4 +1,4 @@
-// State machine of one confirmation. The store may be unavailable or slow, its
+// The steps of one confirmation. The store may be unavailable or slow, its
 // responses may be lost, and reads may be stale.
 #ifndef CONFIGURATION_CONFIRM_PROCEDURE_H_
 #define CONFIGURATION_CONFIRM_PROCEDURE_H_
