--- a/src/libs/configuration/fetch.cc
+++ b/src/libs/configuration/fetch.cc
@@ -24,59 +24,60 @@
   return FetchRequest{have->get<uint64_t>()};
 }
 
-std::string FetchAnswer::ToJson() const {
+std::string FetchResponse::ToJson() const {
   json object = {{"revision", revision}};
   if (head) {
-    // As text, so that whatever a newer version wrote into it arrives as is.
+    // Embedded as a string, so that fields added by a newer version arrive
+    // unchanged.
     object["head"] = head->ToJson();
     object["packed"] = packed;
   }
   return object.dump();
 }
 
-std::optional<FetchAnswer> FetchAnswer::FromJson(std::string_view text) {
+std::optional<FetchResponse> FetchResponse::FromJson(std::string_view text) {
   const json object = json::parse(text, nullptr, false);
   if (!object.is_object())
     return std::nullopt;
   try {
-    FetchAnswer answer;
-    answer.revision = object.at("revision").get<uint64_t>();
+    FetchResponse response;
+    response.revision = object.at("revision").get<uint64_t>();
     if (!object.contains("head"))
-      return answer;
-    answer.head = Head::FromJson(object.at("head").get<std::string>());
-    if (!answer.head)
+      return response;
+    response.head = Head::FromJson(object.at("head").get<std::string>());
+    if (!response.head)
       return std::nullopt;
-    answer.packed = object.at("packed").get<decltype(answer.packed)>();
-    for (const auto& [hash, text] : answer.packed) {
+    response.packed = object.at("packed").get<decltype(response.packed)>();
+    for (const auto& [hash, text] : response.packed) {
       auto document = UnpackDocument(text);
       if (!document)
         return std::nullopt;
-      answer.documents[hash] = *std::move(document);
+      response.documents[hash] = *std::move(document);
     }
-    return answer;
+    return response;
   } catch (const json::exception&) {
     return std::nullopt;
   }
 }
 
-FetchAnswer AnswerFetch(const FetchRequest& request,
-                        const HeldConfiguration& held,
-                        PackedDocuments& packed) {
-  FetchAnswer answer{held.head().revision, std::nullopt, {}, {}};
-  if (held.head().revision <= request.have)
-    return answer;
-  answer.head = held.head();
+FetchResponse MakeFetchResponse(const FetchRequest& request,
+                                const LocalConfiguration& local,
+                                PackedDocumentCache& packed) {
+  FetchResponse response{local.head().revision, std::nullopt, {}, {}};
+  if (local.head().revision <= request.have)
+    return response;
+  response.head = local.head();
   Manifest known;
   if (request.have != 0)
-    known = ManifestAt(held.head(), request.have).value_or(Manifest{});
-  for (const auto& [service, hash] : held.head().manifest) {
+    known = ManifestAt(local.head(), request.have).value_or(Manifest{});
+  for (const auto& [service, hash] : local.head().manifest) {
     const auto before = known.find(service);
     if (before == known.end() || before->second != hash)
-      answer.packed[hash] =
-          packed.Pack(hash, held.documents().find(hash)->second);
+      response.packed[hash] =
+          packed.Pack(hash, local.documents().find(hash)->second);
   }
-  packed.KeepOnly(held.documents());
-  return answer;
+  packed.RetainOnly(local.documents());
+  return response;
 }
 
 }  // namespace chestnutport::configuration
--- a/src/libs/configuration/head.cc
+++ b/src/libs/configuration/head.cc
@@ -13,7 +13,8 @@
 
 using nlohmann::json;
 
-// What is left of `object` without the fields that are known.
+// Returns `object` without the fields in `known`, as text; empty if none
+// remain.
 std::string UnknownFields(json object,
                           std::initializer_list<const char*> known) {
   for (const char* name : known)
@@ -46,7 +47,7 @@
   entry.plan_id = object.value("plan", "");
   entry.confirmed_by = object.value("by", "");
   entry.confirmed_at = object.value("at", "");
-  // A name of its own: items() does not keep a temporary alive.
+  // A named variable, because items() does not extend the life of a temporary.
   const json changed = object.value("changed", json::object());
   for (const auto& [service, before] : changed.items())
     entry.changed[service] = before.get<std::string>();
@@ -156,12 +157,12 @@
 }
 
 void BoundHistory(std::vector<HistoryEntry>& history) {
-  if (history.size() > kHistoryLength)
-    history.erase(history.begin(), history.end() - kHistoryLength);
+  if (history.size() > kMaxHistoryEntries)
+    history.erase(history.begin(), history.end() - kMaxHistoryEntries);
   size_t detail = 0;
   for (auto entry = history.rbegin(); entry != history.rend(); ++entry) {
     detail += entry->changed.size();
-    if (detail > kHistoryDetail) {
+    if (detail > kMaxHistoryServices) {
       entry->changed.clear();
       entry->forgotten = true;
     }
--- a/src/libs/configuration/revision_lag.h
+++ b/src/libs/configuration/revision_lag.h
@@ -1,4 +1,5 @@
-// Since when this node knows of a newer revision than the one in force here.
+// Measures for how long this node has known of a newer revision than the one it
+// has in force.
 #ifndef CONFIGURATION_REVISION_LAG_H_
 #define CONFIGURATION_REVISION_LAG_H_
 
@@ -10,20 +11,21 @@
 
 class RevisionLag {
  public:
-  // The store or another node holds `revision`.
-  void OnHeard(uint64_t revision, base::Instant now);
-  // Returns for how long a newer revision than the one before was known.
+  // Called when the store or another node was found to hold `revision`.
+  void OnRevisionReported(uint64_t revision, base::Instant now);
+  // Called when `revision` comes into force. Returns for how long a newer
+  // revision than the previous one was known.
   base::Duration OnInForce(uint64_t revision, base::Instant now);
 
-  // Zero: nothing newer is known.
+  // Returns the current lag; zero if no newer revision is known.
   base::Duration Behind(base::Instant now) const;
 
  private:
-  bool IsBehind() const { return greatest_heard_ > in_force_; }
+  bool IsBehind() const { return greatest_reported_ > in_force_; }
 
   uint64_t in_force_ = 0;
-  uint64_t greatest_heard_ = 0;
-  base::Instant greatest_heard_at_;
+  uint64_t greatest_reported_ = 0;
+  base::Instant greatest_reported_at_;
   base::Instant behind_since_;
 };
 
--- /dev/null
+++ b/src/libs/evacuation/local_evacuations.h
@@ -0,0 +1,33 @@
+// The evacuations known to this node, from the store and from peers. Updates
+// are ordered by the store's revision, regardless of their source. Has no side
+// effects.
+#ifndef EVACUATION_LOCAL_EVACUATIONS_H_
+#define EVACUATION_LOCAL_EVACUATIONS_H_
+
+#include <cstdint>
+
+#include "evacuation/evacuations.h"
+
+namespace chestnutport::evacuation {
+
+class LocalEvacuations {
+ public:
+  // Applies what this node read from the store. Returns whether the evacuations
+  // have to be announced to the other nodes.
+  bool OnStoreRead(const Evacuations& read);
+  // Applies what a peer holds. Returns whether the evacuations have to be
+  // announced: they are new to this node, or the peer holds an older state than
+  // this node has read.
+  bool OnPeerReport(const Evacuations& reported);
+
+  const Evacuations& current() const { return current_; }
+
+ private:
+  Evacuations current_;
+  // The store's revision at which this node itself last confirmed `current_`.
+  uint64_t store_read_as_of_ = 0;
+};
+
+}  // namespace chestnutport::evacuation
+
+#endif  // EVACUATION_LOCAL_EVACUATIONS_H_
--- a/src/libs/evacuation_store/evacuation_change.h
+++ b/src/libs/evacuation_store/evacuation_change.h
@@ -1,24 +1,25 @@
-// What an operator asks for: that a data centre is evacuated, or no more. Pure.
+// A change by an operator: a data centre is evacuated or readmitted. Has no
+// side effects.
 #ifndef EVACUATION_STORE_EVACUATION_CHANGE_H_
 #define EVACUATION_STORE_EVACUATION_CHANGE_H_
 
 #include <string>
 
-#include "evacuation_store/evacuation_form.h"
+#include "evacuation_store/evacuation_format.h"
 
 namespace chestnutport::evacuation_store {
 
 struct EvacuationChange {
   std::string data_centre;
-  bool is_evacuated = true;  // False: its servers are to take work again.
+  bool is_evacuated = true;  // False to readmit it.
 
-  // Whether nothing is left to do.
-  bool IsDone(const DataCentres& now) const;
-  // What is evacuated afterwards, in order.
-  DataCentres Apply(DataCentres now) const;
-  // Names the change and all that is evacuated when it is planned, so that a
-  // plan cannot be confirmed that was made of something else.
-  std::string PlanId(const DataCentres& now) const;
+  // Returns whether the change is already in effect.
+  bool IsInEffect(const DataCentres& current) const;
+  // Returns the evacuated data centres after the change, sorted.
+  DataCentres Apply(DataCentres current) const;
+  // Returns the plan identifier. It contains the change and all data centres
+  // evacuated at the time, so that a plan with an outdated base is rejected.
+  std::string PlanId(const DataCentres& current) const;
 };
 
 }  // namespace chestnutport::evacuation_store
--- a/src/libs/evacuation_store/evacuation_reader.cc
+++ b/src/libs/evacuation_store/evacuation_reader.cc
@@ -12,9 +12,10 @@
 using telemetry::Event;
 using telemetry::LogEvent;
 
-// A node that starts hears of the fleet, and so of evacuations, within this
-// time as a rule; only those that are readers then ask the store.
-constexpr base::Duration kFirstWait = std::chrono::seconds(1);
+// Within this time a starting node usually learns about the fleet and, with
+// that, about evacuations. Only the readers among the nodes then read the
+// store.
+constexpr base::Duration kFirstReadDelay = std::chrono::seconds(1);
 
 DataCentres Sorted(DataCentres names) {
   std::ranges::sort(names);
@@ -26,35 +27,35 @@
 
 EvacuationReader::EvacuationReader(net::EventLoop& loop,
                                    store::StoreClient& store,
-                                   AnyEvacuationForm form,
-                                   base::Duration longest_wait,
+                                   AnyEvacuationFormat format,
+                                   base::Duration max_read_interval,
                                    const base::Random& random,
                                    Handler read)
     : loop_(loop),
       store_(store),
-      form_(std::move(form)),
+      format_(std::move(format)),
       random_(random),
-      read_(std::move(read)),
-      pace_(longest_wait, configuration::kAlertEvacuationWatch) {}
+      on_read_(std::move(read)),
+      timing_(max_read_interval, configuration::kMaxShortEvacuationWatch) {}
 
 EvacuationReader::~EvacuationReader() {
   loop_.Cancel(timer_);
 }
 
 void EvacuationReader::Start() {
-  Schedule(kFirstWait + pace_.First(random_));
+  Schedule(kFirstReadDelay + timing_.FirstReadDelay(random_));
 }
 
 void EvacuationReader::SetMembers(
     const membership::Member& self,
     const std::vector<membership::Member>& members) {
   const auto reason = role_.SetMembers(self, members);
-  if (reason != configuration::ReadSoon::kNo && watch_.GiveUp())
+  if (reason != configuration::ReadTrigger::kNone && watch_.Abandon())
     ScheduleSoon();
 }
 
 void EvacuationReader::ReadNow() {
-  store_.ListPage(form_.prefix, [this](const auto& page) {
+  store_.ListPage(format_.prefix, [this](const auto& page) {
     if (page)
       OnPage(page);
   });
@@ -66,70 +67,72 @@
 }
 
 void EvacuationReader::ScheduleSoon() {
-  Schedule(configuration::ReadPace::Again(random_));
+  Schedule(configuration::ReadTiming::RereadDelay(random_));
 }
 
 void EvacuationReader::Read() {
   if (!role_.is_reader()) {
-    EndRound(false);
+    FinishRound(false);
     return;
   }
-  store_.ListPage(form_.prefix, [this](const auto& page) {
+  store_.ListPage(format_.prefix, [this](const auto& page) {
     if (!page) {
-      EndRound(true);
+      FinishRound(true);
       return;
     }
     OnPage(page);
-    // After a start each node takes itself for a reader until it knows the
-    // fleet.
+    // Until a starting node knows the fleet it considers itself a reader, so
+    // the first read is not followed by a watch.
     const bool is_settled = std::exchange(has_read_, true);
     if (is_settled && role_.is_reader() && page.value().as_of > 0 &&
         store_.CanWatch())
       Watch(page.value().as_of);
     else
-      EndRound(false);
+      FinishRound(false);
   });
 }
 
 void EvacuationReader::OnPage(const base::Result<store::StorePage>& page) {
-  const auto names = form_.read(page.value().entries);
+  const auto names = format_.read(page.value().entries);
   const Evacuations read{static_cast<uint64_t>(page.value().as_of),
                          names ? Sorted(*names) : DataCentres()};
   const bool is_unreadable =
-      !names || read.NameBytes() > Evacuations::kLargestNames;
-  // What is held stays: an evacuation must not end by a fault of its writer.
+      !names || read.NameBytes() > Evacuations::kMaxNameBytes;
+  // The known evacuations are kept: one must not end because an entry is
+  // invalid.
   if (!std::exchange(is_unreadable_, is_unreadable) && is_unreadable)
-    LogEvent(Event::kStoreEntryUnreadable, {{"key", form_.prefix}});
+    LogEvent(Event::kStoreEntryUnreadable, {{"key", format_.prefix}});
   if (!is_unreadable)
-    read_(read);
+    on_read_(read);
 }
 
 void EvacuationReader::Watch(int64_t after) {
-  const auto times = pace_.Watch(role_.is_alert(), random_);
-  store_.Watch(form_.prefix, after, times.wait, times.patience,
-               [this, after, watch = watch_.Begin()](const auto& news) {
+  const auto times = timing_.DrawWatch(role_.has_short_watches(), random_);
+  store_.Watch(format_.prefix, after, times.wait, times.grace,
+               [this, after, watch = watch_.Begin()](const auto& changes) {
                  if (watch_.End(watch))
-                   OnWatched(after, news);
+                   OnWatchEnded(after, changes);
                });
 }
 
-void EvacuationReader::OnWatched(int64_t after,
-                                 const base::Result<store::StoreNews>& news) {
-  if (!news || news.value().history_lost) {
+void EvacuationReader::OnWatchEnded(
+    int64_t after,
+    const base::Result<store::StoreChanges>& changes) {
+  if (!changes || changes.value().changes_missed) {
     ScheduleSoon();
     return;
   }
-  const bool is_quiet =
-      news.value().changed.empty() && news.value().removed == 0;
-  if (is_quiet && role_.is_reader())
-    Watch(std::max(after, news.value().as_of));
+  const bool is_unchanged =
+      changes.value().changed.empty() && changes.value().removed == 0;
+  if (is_unchanged && role_.is_reader())
+    Watch(std::max(after, changes.value().as_of));
   else
     Read();
 }
 
-void EvacuationReader::EndRound(bool failed) {
-  Schedule(
-      pace_.Next(failed, role_.is_alone(), role_.lost_members() + 1, random_));
+void EvacuationReader::FinishRound(bool failed) {
+  Schedule(timing_.NextReadDelay(failed, role_.is_alone(),
+                                 role_.members_without_store() + 1, random_));
 }
 
 }  // namespace chestnutport::evacuation_store
--- a/src/libs/evacuation_store/evacuation_reader.h
+++ b/src/libs/evacuation_store/evacuation_reader.h
@@ -1,5 +1,5 @@
-// Reads from the store which data centres are evacuated, while this node is
-// one of its data centre's readers. Runs on the control thread.
+// Reads the evacuated data centres from the store while this node is a reader
+// of its data centre. Used on the control thread only.
 #ifndef EVACUATION_STORE_EVACUATION_READER_H_
 #define EVACUATION_STORE_EVACUATION_READER_H_
 
@@ -8,11 +8,11 @@
 
 #include "base/random.h"
 #include "base/time.h"
-#include "configuration/read_pace.h"
+#include "configuration/current_watch.h"
+#include "configuration/read_timing.h"
 #include "configuration/reader_role.h"
-#include "configuration/watch_round.h"
 #include "evacuation/evacuations.h"
-#include "evacuation_store/evacuation_form.h"
+#include "evacuation_store/evacuation_format.h"
 #include "membership/member.h"
 #include "net/event_loop.h"
 #include "store/store_client.h"
@@ -23,12 +23,13 @@
  public:
   using Handler = std::function<void(const evacuation::Evacuations&)>;
 
-  // `loop` and `store` must outlive the reader. `longest_wait`: between two
-  // tries while the store fails. `read` is called with each reading.
+  // `loop` and `store` must outlive the reader. `max_read_interval` limits the
+  // delay between two reads while the store fails. `on_read` is called after
+  // each successful read.
   EvacuationReader(net::EventLoop& loop,
                    store::StoreClient& store,
-                   AnyEvacuationForm form,
-                   base::Duration longest_wait,
+                   AnyEvacuationFormat format,
+                   base::Duration max_read_interval,
                    const base::Random& random,
                    Handler read);
   ~EvacuationReader();
@@ -36,30 +37,33 @@
   void Start();
   void SetMembers(const membership::Member& self,
                   const std::vector<membership::Member>& members);
-  // Reads at once, as this node changed something.
+  // Reads immediately, after this node changed the evacuations.
   void ReadNow();
 
  private:
   void Schedule(base::Duration wait);
-  // Soon, spread over the readers whose watches ended together.
+  // Schedules a read soon, with jitter for the readers whose watches ended at
+  // the same time.
   void ScheduleSoon();
   void Read();
   void OnPage(const base::Result<store::StorePage>& page);
   void Watch(int64_t after);
-  void OnWatched(int64_t after, const base::Result<store::StoreNews>& news);
-  void EndRound(bool failed);
+  void OnWatchEnded(int64_t after,
+                    const base::Result<store::StoreChanges>& changes);
+  void FinishRound(bool failed);
 
   net::EventLoop& loop_;
   store::StoreClient& store_;
-  AnyEvacuationForm form_;
+  AnyEvacuationFormat format_;
   base::Random random_;
-  Handler read_;
-  configuration::ReadPace pace_;
+  Handler on_read_;
+  configuration::ReadTiming timing_;
   configuration::ReaderRole role_;
   net::EventLoop::TimerId timer_ = 0;
-  configuration::WatchRound watch_;
-  bool has_read_ = false;       // Since the start.
-  bool is_unreadable_ = false;  // By the last reading; logged once in a row.
+  configuration::CurrentWatch watch_;
+  bool has_read_ = false;  // Since the start of the node.
+  bool is_unreadable_ =
+      false;  // At the last read. Logged when it becomes true.
 };
 
 }  // namespace chestnutport::evacuation_store
--- a/src/libs/store/etcd_form.cc
+++ b/src/libs/store/etcd_protocol.cc
@@ -1,4 +1,4 @@
-#include "store/etcd_form.h"
+#include "store/etcd_protocol.h"
 
 #include <nlohmann/json.hpp>
 
@@ -25,7 +25,7 @@
   return plain;
 }
 
-// The protocol writes 64-bit numbers as strings and leaves zeros out.
+// The protocol encodes 64-bit numbers as strings and omits zeros.
 int64_t Number(const json& object, const char* name) {
   int64_t number = 0;
   const auto found = object.find(name);
@@ -36,13 +36,13 @@
   return found->is_number_integer() ? found->get<int64_t>() : 0;
 }
 
-// One past the last key with this prefix.
+// Returns the end of the key range with this prefix, exclusive.
 std::string PrefixEnd(std::string prefix) {
   prefix.back() = static_cast<char>(prefix.back() + 1);
   return prefix;
 }
 
-// Empty for anything but a text.
+// Returns an empty string if the member is missing or not a string.
 std::string Text(const json& object, const char* name) {
   const auto found = object.find(name);
   if (found == object.end() || !found->is_string())
@@ -57,7 +57,8 @@
           .body = body.dump()};
 }
 
-// Nothing for an answer that the protocol does not know.
+// Returns null if the status is not 200, and a discarded value if the body is
+// not JSON.
 json Parse(const net::HttpAnswer& answer) {
   if (answer.status != kOk)
     return nullptr;
@@ -66,18 +67,18 @@
 
 }  // namespace
 
-net::HttpRequest EtcdForm::List(const std::string& prefix,
-                                const std::string& after,
-                                Freshness freshness) const {
+net::HttpRequest EtcdProtocol::List(const std::string& prefix,
+                                    const std::string& after,
+                                    Freshness freshness) const {
   const std::string from =
       after.empty() ? prefix : absl::StrCat(after, std::string(1, '\0'));
   json body = {{"key", Encode(from)}, {"range_end", Encode(PrefixEnd(prefix))}};
-  if (freshness == Freshness::kMayBeOld)
+  if (freshness == Freshness::kMayBeStale)
     body["serializable"] = true;
   return Post("/v3/kv/range", body);
 }
 
-base::Result<StorePage> EtcdForm::ReadPage(
+base::Result<StorePage> EtcdProtocol::ParsePage(
     const net::HttpAnswer& answer) const {
   const json body = Parse(answer);
   if (!body.is_object())
@@ -97,16 +98,16 @@
   return page;
 }
 
-net::HttpRequest EtcdForm::Read(const std::string& key) const {
+net::HttpRequest EtcdProtocol::Read(const std::string& key) const {
   return Post("/v3/kv/range", {{"key", Encode(key)}});
 }
 
-base::Result<StorePage> EtcdForm::ReadEntry(
+base::Result<StorePage> EtcdProtocol::ParseEntry(
     const net::HttpAnswer& answer) const {
-  return ReadPage(answer);
+  return ParsePage(answer);
 }
 
-net::HttpRequest EtcdForm::Swap(const StoreSwap& swap) const {
+net::HttpRequest EtcdProtocol::Swap(const StoreSwap& swap) const {
   const json compare = {{"key", Encode(swap.key)},
                         {"target", "MOD"},
                         {"result", "EQUAL"},
@@ -119,11 +120,12 @@
                {"success", json::array({{{"request_put", put}}})}});
 }
 
-base::Result<bool> EtcdForm::ReadSwapped(const net::HttpAnswer& answer) const {
+base::Result<bool> EtcdProtocol::ParseSwap(
+    const net::HttpAnswer& answer) const {
   const json body = Parse(answer);
   if (!body.is_object())
     return make_error_code(ErrorKind::kStoreOutcomeUnknown);
-  // The protocol leaves false out.
+  // The protocol omits false.
   const auto succeeded = body.find("succeeded");
   if (succeeded == body.end())
     return false;
@@ -132,12 +134,13 @@
   return succeeded->get<bool>();
 }
 
-net::HttpRequest EtcdForm::Grant(std::chrono::milliseconds time_to_live) const {
+net::HttpRequest EtcdProtocol::Grant(
+    std::chrono::milliseconds time_to_live) const {
   const auto seconds = std::chrono::ceil<std::chrono::seconds>(time_to_live);
   return Post("/v3/lease/grant", {{"TTL", absl::StrCat(seconds.count())}});
 }
 
-base::Result<LeaseId> EtcdForm::ReadGranted(
+base::Result<LeaseId> EtcdProtocol::ParseGrant(
     const net::HttpAnswer& answer) const {
   const json body = Parse(answer);
   const LeaseId lease = body.is_object() ? Number(body, "ID") : 0;
@@ -146,11 +149,12 @@
   return lease;
 }
 
-net::HttpRequest EtcdForm::KeepAlive(LeaseId lease) const {
+net::HttpRequest EtcdProtocol::KeepAlive(LeaseId lease) const {
   return Post("/v3/lease/keepalive", {{"ID", absl::StrCat(lease)}});
 }
 
-base::Result<bool> EtcdForm::ReadKept(const net::HttpAnswer& answer) const {
+base::Result<bool> EtcdProtocol::ParseKeepAlive(
+    const net::HttpAnswer& answer) const {
   if (answer.status != kOk)
     return make_error_code(ErrorKind::kStoreUnavailable);
   const json body = Parse(answer);
@@ -158,13 +162,13 @@
          body["result"].is_object() && Number(body["result"], "TTL") > 0;
 }
 
-net::HttpRequest EtcdForm::Watch(const std::string& prefix,
-                                 int64_t /*after*/,
-                                 std::chrono::milliseconds /*wait*/) const {
+net::HttpRequest EtcdProtocol::Watch(const std::string& prefix,
+                                     int64_t /*after*/,
+                                     std::chrono::milliseconds /*wait*/) const {
   return List(prefix, "", Freshness::kLatest);
 }
 
-base::Result<StoreNews> EtcdForm::ReadNews(
+base::Result<StoreChanges> EtcdProtocol::ParseChanges(
     const net::HttpAnswer& /*answer*/) const {
   return make_error_code(ErrorKind::kStoreUnavailable);
 }
--- a/src/libs/store/store_call_counts.h
+++ b/src/libs/store/store_call_counts.h
@@ -1,5 +1,5 @@
-// Calls to the store by kind and result, for its price and for engineers on
-// call.
+// Counts the calls to the store by kind and result, for the cost of the store
+// and for operations.
 #ifndef STORE_STORE_CALL_COUNTS_H_
 #define STORE_STORE_CALL_COUNTS_H_
 
@@ -17,7 +17,8 @@
 
 enum class CallResult {
   kAnswered,
-  kRefused,   // The store is over its rate, or down: nothing was done.
+  kRefused,   // The store is over its rate limit or unavailable; nothing was
+              // done.
   kNoAnswer,  // A write may have taken effect.
 };
 inline constexpr std::array kCallResults = {
@@ -30,16 +31,16 @@
  public:
   void Add(CallKind kind, CallResult result) { ++At(kind, result); }
   uint64_t Of(CallKind kind, CallResult result) const {
-    return counts_[Place(kind, result)];
+    return counts_[IndexOf(kind, result)];
   }
 
  private:
-  static size_t Place(CallKind kind, CallResult result) {
+  static size_t IndexOf(CallKind kind, CallResult result) {
     return static_cast<size_t>(kind) * kCallResults.size() +
            static_cast<size_t>(result);
   }
   uint64_t& At(CallKind kind, CallResult result) {
-    return counts_[Place(kind, result)];
+    return counts_[IndexOf(kind, result)];
   }
 
   std::array<uint64_t, kCallKinds.size() * kCallResults.size()> counts_{};
--- a/tests/auto/configuration/held_configuration_test.cc
+++ b/tests/auto/configuration/held_configuration_test.cc
@@ -1,5 +1,6 @@
-// What a node takes into force, whatever reaches it in whatever order.
-#include "configuration/held_configuration.h"
+// The local configuration under updates in any order. Guards against going back
+// to an older revision and against applying an incomplete one.
+#include "configuration/local_configuration.h"
 
 #include <rapidcheck/catch.h>
 
@@ -30,13 +31,12 @@
   return MakeDocuments({{"a", Text(revision)}, {"fixed", "fixed"}});
 }
 
-// Takes whatever has all its documents, as a node would that trusts each
-// source to know best.
-class Credulous {
+// Faulty implementation that applies every update.
+class AlwaysApplying {
  public:
-  Adoption Offer(const Head& head, const Documents&) {
+  ApplyResult Apply(const Head& head, const Documents&) {
     head_ = head;
-    return Adoption::kAdopted;
+    return ApplyResult::kApplied;
   }
   const Head& head() const { return head_; }
 
@@ -44,69 +44,69 @@
   Head head_;
 };
 
-// Offers revisions in the order of `offered`; false if one went back.
-template <typename Held>
-bool NeverGoesBack(const std::vector<int>& offered) {
-  Held held;
+// Applies `revisions` in order; returns false if the revision ever decreased.
+template <typename Configuration>
+bool NeverDecreases(const std::vector<int>& revisions) {
+  Configuration local;
   uint64_t greatest = 0;
-  for (const int revision : offered) {
+  for (const int revision : revisions) {
     const auto number = static_cast<uint64_t>(revision);
-    held.Offer(MakeHead(number), DocumentsOf(number));
+    local.Apply(MakeHead(number), DocumentsOf(number));
     greatest = std::max(greatest, number);
-    if (held.head().revision != greatest)
+    if (local.head().revision != greatest)
       return false;
   }
   return true;
 }
 
-TEST_CASE("a revision never goes back") {
-  rc::prop("whatever the order of the offers", [] {
-    const auto offered =
+TEST_CASE("the revision never decreases") {
+  rc::prop("in any order of updates", [] {
+    const auto revisions =
         *rc::gen::container<std::vector<int>>(rc::gen::inRange(1, kRevisions));
-    RC_ASSERT(NeverGoesBack<HeldConfiguration>(offered));
+    RC_ASSERT(NeverDecreases<LocalConfiguration>(revisions));
   });
-  CHECK_FALSE(NeverGoesBack<Credulous>({3, 2}));
+  CHECK_FALSE(NeverDecreases<AlwaysApplying>({3, 2}));
 }
 
-TEST_CASE("only a whole configuration is taken") {
-  HeldConfiguration held;
-  REQUIRE(held.Offer(MakeHead(1), DocumentsOf(1)) == Adoption::kAdopted);
-  CHECK(held.Offer(MakeHead(1), DocumentsOf(1)) == Adoption::kNotNewer);
-  CHECK(held.Offer(MakeHead(2), {}) == Adoption::kIncomplete);
-  CHECK(held.Offer(MakeHead(2), {{DocumentHash(Text(2)), "other"}}) ==
-        Adoption::kIncomplete);
-  CHECK(held.head().revision == 1);
-  CHECK(held.Offer(MakeHead(2), DocumentsOf(2)) == Adoption::kAdopted);
+TEST_CASE("only a complete configuration is applied") {
+  LocalConfiguration local;
+  REQUIRE(local.Apply(MakeHead(1), DocumentsOf(1)) == ApplyResult::kApplied);
+  CHECK(local.Apply(MakeHead(1), DocumentsOf(1)) == ApplyResult::kNotNewer);
+  CHECK(local.Apply(MakeHead(2), {}) == ApplyResult::kIncomplete);
+  CHECK(local.Apply(MakeHead(2), {{DocumentHash(Text(2)), "other"}}) ==
+        ApplyResult::kIncomplete);
+  CHECK(local.head().revision == 1);
+  CHECK(local.Apply(MakeHead(2), DocumentsOf(2)) == ApplyResult::kApplied);
 }
 
-TEST_CASE("a node fetches from another what it lacks") {
-  HeldConfiguration newer;
-  newer.Offer(MakeHead(5), DocumentsOf(5));
-  PackedDocuments packed;
-
-  SECTION("only the documents that changed since") {
-    const FetchAnswer answer = AnswerFetch({4}, newer, packed);
-    CHECK(answer.packed.size() == 1);
-    HeldConfiguration older;
-    older.Offer(MakeHead(4), DocumentsOf(4));
-    const auto read = FetchAnswer::FromJson(answer.ToJson());
+TEST_CASE("a fetch returns what the requesting node lacks") {
+  LocalConfiguration newer;
+  newer.Apply(MakeHead(5), DocumentsOf(5));
+  PackedDocumentCache packed;
+
+  SECTION("only the changed documents") {
+    const FetchResponse response = MakeFetchResponse({4}, newer, packed);
+    CHECK(response.packed.size() == 1);
+    LocalConfiguration older;
+    older.Apply(MakeHead(4), DocumentsOf(4));
+    const auto read = FetchResponse::FromJson(response.ToJson());
     REQUIRE(read);
-    CHECK(older.Offer(*read->head, read->documents) == Adoption::kAdopted);
+    CHECK(older.Apply(*read->head, read->documents) == ApplyResult::kApplied);
   }
-  SECTION("all of them if it has nothing") {
-    CHECK(AnswerFetch({0}, newer, packed).packed.size() == 2);
+  SECTION("all documents if it has none") {
+    CHECK(MakeFetchResponse({0}, newer, packed).packed.size() == 2);
   }
-  SECTION("nothing but the revision if it is as new") {
-    const FetchAnswer answer = AnswerFetch({5}, newer, packed);
-    CHECK(answer.revision == 5);
-    CHECK_FALSE(answer.head);
-    CHECK(answer.ToJson().size() < 30);
+  SECTION("only the revision if it is up to date") {
+    const FetchResponse response = MakeFetchResponse({5}, newer, packed);
+    CHECK(response.revision == 5);
+    CHECK_FALSE(response.head);
+    CHECK(response.ToJson().size() < 30);
   }
-  SECTION("a malformed message is refused") {
+  SECTION("a malformed message is rejected") {
     CHECK_FALSE(FetchRequest::FromJson("{\"have\": -1}"));
     CHECK_FALSE(FetchRequest::FromJson("[]"));
-    CHECK_FALSE(FetchAnswer::FromJson("{\"revision\": 1, \"head\": 7}"));
-    CHECK_FALSE(FetchAnswer::FromJson("{\"revision\": 1, \"head\": \"x\"}"));
+    CHECK_FALSE(FetchResponse::FromJson("{\"revision\": 1, \"head\": 7}"));
+    CHECK_FALSE(FetchResponse::FromJson("{\"revision\": 1, \"head\": \"x\"}"));
   }
 }
 
--- a/tests/benchmarks/configuration/counted_figures.cc
+++ b/tests/benchmarks/configuration/counted_figures.cc
@@ -5,23 +5,23 @@
 #include "base/random.h"
 #include "configuration/fetch.h"
 #include "configuration/figures.h"
-#include "configuration/held_configuration.h"
-#include "configuration/read_pace.h"
-#include "configuration/reader_ranks.h"
+#include "configuration/local_configuration.h"
+#include "configuration/read_timing.h"
+#include "configuration/reader_selection.h"
 
 namespace chestnutport::bench {
 namespace {
 
 using configuration::Documents;
 using configuration::Head;
-using configuration::HeldConfiguration;
+using configuration::LocalConfiguration;
 using declarations::DeclarationTexts;
 using membership::Member;
 
 constexpr int kServices = 200;
 constexpr size_t kDocumentBytes = 5000;
 constexpr size_t kDataCentres = 14;
-constexpr std::chrono::seconds kObserved(600);
+constexpr std::chrono::seconds kObservedTime(600);
 
 std::string Document(int service, int version) {
   std::string text = absl::StrCat("; ", service, " ", version, "\n");
@@ -37,9 +37,9 @@
   return texts;
 }
 
-// A fleet's configuration after many confirmations of one service each, and
-// a last one of `changed` services.
-HeldConfiguration Held(int changed) {
+// Returns a configuration after many confirmations of one service each, and a
+// last one of `changed` services.
+LocalConfiguration MakeConfiguration(int changed) {
   Head head;
   DeclarationTexts texts;
   for (int round = 0; round < 60; ++round) {
@@ -53,17 +53,18 @@
   texts = Texts(changed, 1000);
   head =
       NextHead(head, configuration::MakeManifest(texts), {.plan_id = "last"});
-  HeldConfiguration held;
-  held.Offer(head, configuration::MakeDocuments(texts));
-  return held;
+  LocalConfiguration local;
+  local.Apply(head, configuration::MakeDocuments(texts));
+  return local;
 }
 
 void AddBytes(FigureReport& report) {
-  configuration::PackedDocuments packed;
+  configuration::PackedDocumentCache packed;
   for (const int changed : {1, 10, kServices}) {
-    const HeldConfiguration held = Held(changed);
-    const uint64_t before = held.head().revision - 1;
-    const size_t bytes = AnswerFetch({before}, held, packed).ToJson().size();
+    const LocalConfiguration local = MakeConfiguration(changed);
+    const uint64_t before = local.head().revision - 1;
+    const size_t bytes =
+        MakeFetchResponse({before}, local, packed).ToJson().size();
     const double documents = changed * static_cast<double>(kDocumentBytes);
     report.Add({.name = absl::StrCat("configuration/fetch/", changed,
                                      "-of-200-changed"),
@@ -71,15 +72,16 @@
                 .unit = "B",
                 .at_most = 40000 + 1.1 * documents});
   }
-  const HeldConfiguration held = Held(1);
-  report.Add(
-      {.name = "configuration/fetch/nothing-new",
-       .value = static_cast<double>(
-           AnswerFetch({held.head().revision}, held, packed).ToJson().size()),
-       .unit = "B",
-       .at_most = 100});
+  const LocalConfiguration local = MakeConfiguration(1);
+  report.Add({.name = "configuration/fetch/nothing-new",
+              .value = static_cast<double>(
+                  MakeFetchResponse({local.head().revision}, local, packed)
+                      .ToJson()
+                      .size()),
+              .unit = "B",
+              .at_most = 100});
   report.Add({.name = "configuration/head",
-              .value = static_cast<double>(held.head().ToJson().size()),
+              .value = static_cast<double>(local.head().ToJson().size()),
               .unit = "B",
               .at_most = 40000});
 }
@@ -87,19 +89,22 @@
 size_t CountReaders(const std::vector<Member>& members) {
   size_t readers = 0;
   for (const Member& member : members)
-    readers += configuration::ReaderRanks(members).IsReader(member);
+    readers += configuration::ReaderSelection(members).IsReader(member);
   return readers;
 }
 
-// Readings a second of one node, once its pace has settled; `failing`: nodes
-// whose readings fail, this one among them.
-double ReadingsPerSecond(size_t failing, bool alone, base::Random& random) {
-  configuration::ReadPace pace;
+// Returns the reads per second of one node in the steady state. `failing_nodes`
+// is the number of nodes whose reads fail, including this one.
+double ReadsPerSecond(size_t failing_nodes,
+                      bool is_alone,
+                      base::Random& random) {
+  configuration::ReadTiming timing;
   base::Duration at{};
-  int readings = 0;
-  for (; at < kObserved; ++readings)
-    at += pace.Next(failing > 0, alone, failing, random);
-  return readings / std::chrono::duration<double>(kObserved).count();
+  int reads = 0;
+  for (; at < kObservedTime; ++reads)
+    at += timing.NextReadDelay(failing_nodes > 0, is_alone, failing_nodes,
+                               random);
+  return reads / std::chrono::duration<double>(kObservedTime).count();
 }
 
 void AddStoreCalls(FigureReport& report) {
@@ -114,22 +119,22 @@
     std::vector<Member> lost = members;
     for (Member& member : lost)
       member.has_lost_store = true;
-    const size_t trying = CountReaders(lost);
+    const size_t retrying = CountReaders(lost);
     const std::string fleet = absl::StrCat("configuration/store/", nodes);
     report.Add({.name = fleet + "/calls-at-rest",
-                .value = readers * ReadingsPerSecond(0, false, random),
+                .value = readers * ReadsPerSecond(0, false, random),
                 .unit = "1/s",
                 .at_most = 28.5});
     report.Add({.name = fleet + "/calls-in-an-outage",
-                .value = static_cast<double>(trying) *
-                         ReadingsPerSecond(trying, false, random),
+                .value = static_cast<double>(retrying) *
+                         ReadsPerSecond(retrying, false, random),
                 .unit = "1/s",
                 .at_most = 5});
-    report.Add({.name = fleet + "/calls-if-no-node-knows-another",
-                .value = static_cast<double>(nodes) *
-                         ReadingsPerSecond(0, true, random),
-                .unit = "1/s",
-                .at_most = 0.1 * static_cast<double>(nodes)});
+    report.Add(
+        {.name = fleet + "/calls-if-no-node-knows-another",
+         .value = static_cast<double>(nodes) * ReadsPerSecond(0, true, random),
+         .unit = "1/s",
+         .at_most = 0.1 * static_cast<double>(nodes)});
   }
 }
 
