--- a/src/app/chestnutportd/main.cc
+++ b/src/app/chestnutportd/main.cc
@@ -28,7 +28,7 @@
     const settings::NodeSettings& node_settings) {
   if (node_settings.adapter == settings::AdapterKind::kHosted)
     return chestnutport::platform::HostedAdapters(node_settings);
-  return chestnutport::node::OwnAdapters(node_settings.fleet);
+  return chestnutport::node::NativeAdapters(node_settings.fleet);
 }
 
 }  // namespace
--- a/src/libs/admission/server_end_watch.cc
+++ b/src/libs/admission/server_end_watch.cc
@@ -37,7 +37,8 @@
     ended_at_ = now;
 }
 
-std::optional<std::vector<BrokenRequest>> ServerEndWatch::TakeEnd(Instant now) {
+std::optional<std::vector<BrokenRequest>> ServerEndWatch::TakeCrash(
+    Instant now) {
   if (!ended_at_ || now < *ended_at_ + kSettle)
     return std::nullopt;
   ended_at_.reset();
--- a/src/libs/admission/server_end_watch.h
+++ b/src/libs/admission/server_end_watch.h
@@ -56,7 +56,7 @@
 
   // What the server ran when it ended, once all of that is known. Once for each
   // end; nothing if it ran nothing.
-  std::optional<std::vector<BrokenRequest>> TakeEnd(base::Instant now);
+  std::optional<std::vector<BrokenRequest>> TakeCrash(base::Instant now);
 
  private:
   void OnEnded(base::Instant now);
--- a/src/libs/gate/gate.cc
+++ b/src/libs/gate/gate.cc
@@ -49,13 +49,13 @@
       observer_(
           loop,
           protocol_,
-          {.looked = [this] { AdmitWaiting(); },
-           .probed = [this] { admission_.OnProbed(base::Clock::now()); },
-           .told_cold =
+          {.probe_ended = [this] { AdmitWaiting(); },
+           .probe_sent = [this] { admission_.OnProbed(base::Clock::now()); },
+           .cold_reported =
                [this](base::Duration remaining) {
                  admission_.cold().OnTold(remaining, base::Clock::now());
                },
-           .found_no_cold =
+           .warm_reported =
                [this] {
                  admission_.cold().OnHealthyWithoutWord(base::Clock::now());
                }}),
@@ -91,13 +91,13 @@
   observer_.SetServer(server, has_started);
   if (has_started)
     admission_.OnServerStarted(now);
-  if (server.cold_told_at != base::Instant()) {
-    admission_.cold().OnTold(server.cold_until - server.cold_told_at,
-                             server.cold_told_at);
+  if (server.cold_reported_at != base::Instant()) {
+    admission_.cold().OnTold(server.cold_until - server.cold_reported_at,
+                             server.cold_reported_at);
   }
   if (was_evacuated)
     admission_.cold().Doubt(now);
-  if (server.TakesWork()) {
+  if (server.AcceptsRequests()) {
     empty_told_ = false;
     if (!on_empty_)
       admission_.StopDrain();
@@ -205,7 +205,7 @@
   freeze_watch_.Look(now);
   Perform(admission_.Tick(now));
   observer_.Tick(now);
-  if (const auto broken = observer_.TakeEnd(now))
+  if (const auto broken = observer_.TakeCrash(now))
     OnServerEnded(*broken);
   if (now >= reported_at_ + kReportInterval)
     Report(now);
--- a/src/libs/gate/gate.h
+++ b/src/libs/gate/gate.h
@@ -127,7 +127,7 @@
   void OnServerDone(const base::AttemptId& id, net::TransferResult result);
   // Takes note of what the end says of the server and of the request.
   void NoteEnd(const GateAttempt& attempt,
-               server::RequestEnd end,
+               server::RequestResult end,
                const net::TransferResult& result,
                base::Instant now);
   // The server ended while it ran these.
--- a/src/libs/gate/gate_admission.cc
+++ b/src/libs/gate/gate_admission.cc
@@ -69,10 +69,10 @@
   // How slow the server is when a request starts decides how long it takes, so
   // one that could go elsewhere waits for the server's word if there is none of
   // now. To a cold server a probe is as much as a request.
-  const bool may_wait = head.may_move && server_.TakesWork() &&
+  const bool may_wait = head.may_move && server_.AcceptsRequests() &&
                         admission_.HasRoom(now) &&
                         !admission_.cold().IsLimited(now);
-  if (may_wait && observer_.Look(now))
+  if (may_wait && observer_.ProbeIfStale(now))
     waiting_for_look_.push_back(std::move(arrival));
   else
     Admit(std::move(arrival));
@@ -126,7 +126,7 @@
                wire::MakePeerErrorAnswer(refusal->error, refusal->retry_after));
     return true;
   }
-  if (!head.may_move || !server_.TakesWork() || !HandsBack(head, now))
+  if (!head.may_move || !server_.AcceptsRequests() || !HandsBack(head, now))
     return false;
   LogDecision({.request = head.request_name,
                .fingerprint = head.fingerprint,
--- a/src/libs/gate/gate_serving.cc
+++ b/src/libs/gate/gate_serving.cc
@@ -73,7 +73,7 @@
 bool Gate::StartRelay(const AttemptId& id, const net::HttpAnswer& head) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end() ||
-      protocol_.judge(head) != server::ServerVerdict::kAnswered) {
+      protocol_.classify_response(head) != server::ServerVerdict::kAnswered) {
     return false;
   }
   GateAttempt& attempt = *found->second;
@@ -104,7 +104,7 @@
   const base::Instant now = base::Clock::now();
   const server::ServerVerdict verdict =
       result.end == net::TransferEnd::kComplete
-          ? protocol_.judge(result.answer)
+          ? protocol_.classify_response(result.answer)
           : server::ServerVerdict::kUnusable;
   const bool has_failed_call = running_.OnEnded(attempt.name);
   NoteEnd(attempt, {result.end, verdict, has_failed_call}, result, now);
@@ -128,7 +128,7 @@
 }
 
 void Gate::NoteEnd(const GateAttempt& attempt,
-                   server::RequestEnd end,
+                   server::RequestResult end,
                    const net::TransferResult& result,
                    base::Instant now) {
   end.life = attempt.life;
@@ -138,7 +138,7 @@
   end.is_over_cold_rate = admission_.cold().IsOverRate(now);
   end.started_at = *attempt.started_at;
   end.instance = attempt.instance;
-  observer_.OnRequestEnd(end, result.answer, now);
+  observer_.OnRequestResult(end, result.answer, now);
   // Also an answer that cannot be handed on comes from a server that goes on.
   const bool is_answered = end.end == net::TransferEnd::kComplete &&
                            (end.verdict == server::ServerVerdict::kAnswered ||
--- a/src/libs/node/adapters.h
+++ b/src/libs/node/adapters.h
@@ -1,5 +1,5 @@
-// What a node meets outside of itself, each in a form that may vary: callers,
-// servers, the store, and the configuration in it.
+// The protocols and formats by which a node communicates with callers, servers
+// and the store. Each is an interface with several implementations.
 #ifndef NODE_ADAPTERS_H_
 #define NODE_ADAPTERS_H_
 
@@ -19,8 +19,9 @@
   evacuation_store::AnyEvacuationForm evacuation;
 };
 
-// The product's own forms, for the fleet of that name.
-Adapters OwnAdapters(const std::string& fleet);
+// Returns the native protocols and formats, used if the setting `adapter` is
+// `own`.
+Adapters NativeAdapters(const std::string& fleet);
 
 }  // namespace chestnutport::node
 
--- a/src/libs/node/control_readings.cc
+++ b/src/libs/node/control_metrics.cc
@@ -1,4 +1,4 @@
-#include "node/control_readings.h"
+#include "node/control_metrics.h"
 
 #include <unistd.h>
 
@@ -40,7 +40,8 @@
                  std::chrono::nanoseconds(used.tv_nsec));
 }
 
-// From the second field of statm, in pages; zero if it cannot be read.
+// Returns the resident set size from /proc/self/statm, whose second field
+// counts pages; zero if it cannot be read.
 double ResidentBytes() {
   uint64_t total_pages = 0;
   uint64_t resident_pages = 0;
@@ -117,7 +118,7 @@
 
 }  // namespace
 
-std::vector<Reading> ReadControl(const ControlCounts& counts) {
+std::vector<Reading> CollectControlMetrics(const ControlMetricSources& counts) {
   std::vector<Reading> readings;
   AppendMembers(readings, counts.members);
   AppendConfiguration(readings, counts.configuration);
--- a/src/libs/node/control_readings.h
+++ b/src/libs/node/control_metrics.h
@@ -1,6 +1,6 @@
-// What the control thread itself counts, for the metrics.
-#ifndef NODE_CONTROL_READINGS_H_
-#define NODE_CONTROL_READINGS_H_
+// Metrics that are counted on the control thread.
+#ifndef NODE_CONTROL_METRICS_H_
+#define NODE_CONTROL_METRICS_H_
 
 #include <vector>
 
@@ -14,7 +14,7 @@
 
 namespace chestnutport::node {
 
-struct ControlCounts {
+struct ControlMetricSources {
   const std::vector<membership::Member>& members;
   const fleet_configuration::ConfigurationKeeper& configuration;
   const store::StoreCallCounts& store_calls;
@@ -23,9 +23,10 @@
   const fleet::RequestQuarantine& quarantine;
 };
 
-// To be called on the control thread: reads its processor time.
-std::vector<telemetry::Reading> ReadControl(const ControlCounts& counts);
+// Call on the control thread: reads the CPU time of the calling thread.
+std::vector<telemetry::Reading> CollectControlMetrics(
+    const ControlMetricSources& counts);
 
 }  // namespace chestnutport::node
 
-#endif  // NODE_CONTROL_READINGS_H_
+#endif  // NODE_CONTROL_METRICS_H_
--- a/src/libs/node/control.cc
+++ b/src/libs/node/control_plane.cc
@@ -1,11 +1,11 @@
-#include "node/control.h"
+#include "node/control_plane.h"
 
 #include <algorithm>
 #include <utility>
 
 #include "net/error_answer.h"
-#include "node/control_readings.h"
-#include "operators/drain_order.h"
+#include "node/control_metrics.h"
+#include "operators/drain_request.h"
 #include "store/store_connections.h"
 #include "telemetry/log.h"
 
@@ -13,19 +13,19 @@
 namespace {
 
 constexpr std::chrono::milliseconds kStoreTimeout(2000);
-// Bytes of all declarations together, as an operator sends them.
-constexpr size_t kLargestConfiguration = 16 * 1024 * 1024;
+// Maximum size in bytes of all declarations together, in one operator request.
+constexpr size_t kMaxConfigurationBytes = 16 * 1024 * 1024;
 
 }  // namespace
 
-Control::Control(net::EventLoop& loop,
-                 const settings::NodeSettings& settings,
-                 membership::Member self,
-                 const control_calls::PeerKeys& keys,
-                 operators::MetricsCollector& metrics,
-                 const Adapters& adapters,
-                 Outputs outputs,
-                 const base::Random& random)
+ControlPlane::ControlPlane(net::EventLoop& loop,
+                           const settings::NodeSettings& settings,
+                           membership::Member self,
+                           const control_calls::PeerKeys& keys,
+                           operators::MetricsCollector& metrics,
+                           const Adapters& adapters,
+                           Outputs outputs,
+                           const base::Random& random)
     : loop_(loop),
       settings_(settings),
       self_(std::move(self)),
@@ -53,16 +53,17 @@
           membership_.store_prefix(),
           [this] { membership_.ListStoreNow(); },
           random),
-      configuration_(loop,
-                     store_,
-                     control_listener_,
-                     control_caller_,
-                     adapters.configuration,
-                     settings,
-                     {.heard_at = [this] { return membership_.heard_at(); },
-                      .tell_store_lost =
-                          [this](bool has_lost) { TellStoreLost(has_lost); }},
-                     random),
+      configuration_(
+          loop,
+          store_,
+          control_listener_,
+          control_caller_,
+          adapters.configuration,
+          settings,
+          {.heard_at = [this] { return membership_.heard_at(); },
+           .tell_store_lost =
+               [this](bool has_lost) { OnStoreLossChanged(has_lost); }},
+          random),
       evacuation_reader_(loop,
                          store_,
                          adapters.evacuation,
@@ -72,26 +73,26 @@
                            membership_.TellEvacuations(read);
                          }),
       evacuation_writer_(store_, adapters.evacuation),
-      own_server_(
+      local_server_(
           loop,
           [this](const std::string& service) { return IsDeclared(service); },
-          [this] { OnOwnServerChanged(); }),
-      server_finder_(loop,
-                     adapters.servers,
-                     [this](const server::ServerAnnouncement& found) {
-                       own_server_.OnFound(found);
-                     }),
+          [this] { OnLocalServerChanged(); }),
+      server_discovery_(loop,
+                        adapters.servers,
+                        [this](const server::ServerAnnouncement& found) {
+                          local_server_.OnDiscovered(found);
+                        }),
       metrics_(metrics,
                [this] {
-                 return ReadControl({members_, configuration_, store_.calls(),
-                                     gate_report_, membership_.counters(),
-                                     quarantine_});
+                 return CollectControlMetrics(
+                     {members_, configuration_, store_.calls(), gate_report_,
+                      membership_.counters(), quarantine_});
                }),
-      operator_api_(ForOperators(), settings) {
+      operator_api_(MakeManagedNode(), settings) {
   AddControlCalls();
 }
 
-operators::OperatedNode Control::ForOperators() {
+operators::ManagedNode ControlPlane::MakeManagedNode() {
   return {.self = self_,
           .members = members_,
           .evacuations = evacuations_,
@@ -107,14 +108,14 @@
               }};
 }
 
-Control::~Control() {
+ControlPlane::~ControlPlane() {
   loop_.Cancel(key_view_timer_);
 }
 
-base::Result<bool> Control::Listen() {
+base::Result<bool> ControlPlane::Listen() {
   auto operators = net::HttpServer::Open(
       loop_, settings_.operator_listen,
-      net::HttpServerLimits{.largest_body = kLargestConfiguration},
+      net::HttpServerLimits{.largest_body = kMaxConfigurationBytes},
       [this](const net::HttpRequest& request, net::Reply reply) {
         operator_api_.OnRequest(request, std::move(reply));
       });
@@ -129,10 +130,10 @@
     return gossip.error();
   if (auto metrics = ListenForMetrics(); !metrics)
     return metrics.error();
-  return own_server_.Listen(settings_.server_listen);
+  return local_server_.Listen(settings_.server_listen);
 }
 
-base::Result<bool> Control::ListenForMetrics() {
+base::Result<bool> ControlPlane::ListenForMetrics() {
   if (settings_.metrics_listen.port == 0)
     return true;
   auto opened = net::HttpServer::Open(
@@ -150,7 +151,7 @@
   return true;
 }
 
-void Control::Start(const base::SocketAddress& peer_address) {
+void ControlPlane::Start(const base::SocketAddress& peer_address) {
   const base::SocketAddress& advertised = settings_.peer_advertised;
   self_.peer_address = advertised.port != 0 ? advertised : peer_address;
   self_.operator_address = operator_address();
@@ -175,7 +176,7 @@
   });
   configuration_.Start([this](uint64_t revision) {
     membership_.AnnounceRevision(revision);
-    FindServer();
+    StartServerDiscovery();
     PublishServer();
     PublishSnapshot();
   });
@@ -183,25 +184,25 @@
   PublishKeyView();
 }
 
-void Control::Drain(server::DrainSource source) {
-  own_server_.Drain(source);
+void ControlPlane::Drain(server::DrainSource source) {
+  local_server_.Drain(source);
 }
 
-bool Control::IsReady() const {
+bool ControlPlane::IsReady() const {
   return !stopping_ && configuration_.configuration().revision > 0;
 }
 
-void Control::SetDraining(bool draining) {
+void ControlPlane::SetDraining(bool draining) {
   if (draining)
     Drain(server::DrainSource::kOperator);
   else
     Undrain(server::DrainSource::kOperator);
 }
 
-void Control::AddControlCalls() {
+void ControlPlane::AddControlCalls() {
   control_listener_.Add(
       operators::kDrainMethod, [this](const std::string& params) {
-        const auto order = operators::DrainOrder::FromJson(params);
+        const auto order = operators::DrainRequest::FromJson(params);
         if (!order)
           return std::string();
         SetDraining(order->draining);
@@ -209,23 +210,23 @@
       });
 }
 
-const base::SocketAddress& Control::operator_address() const {
+const base::SocketAddress& ControlPlane::operator_address() const {
   return operator_listener_->address();
 }
 
-const base::SocketAddress& Control::server_address() const {
-  return own_server_.address();
+const base::SocketAddress& ControlPlane::server_address() const {
+  return local_server_.address();
 }
 
-const base::SocketAddress& Control::control_address() const {
+const base::SocketAddress& ControlPlane::control_address() const {
   return control_listener_.address();
 }
 
-const base::SocketAddress& Control::gossip_address() const {
+const base::SocketAddress& ControlPlane::gossip_address() const {
   return membership_.gossip_address();
 }
 
-void Control::OnMembers(std::vector<membership::Member> members) {
+void ControlPlane::OnMembers(std::vector<membership::Member> members) {
   if (members == members_)
     return;
   members_ = std::move(members);
@@ -235,7 +236,7 @@
   PublishSnapshot();
 }
 
-void Control::OnEvacuations(const evacuation::Evacuations& evacuations) {
+void ControlPlane::OnEvacuations(const evacuation::Evacuations& evacuations) {
   for (const std::string& name : evacuations.data_centres) {
     if (!evacuations_.Contains(name))
       telemetry::LogEvent(telemetry::Event::kEvacuated,
@@ -248,14 +249,15 @@
   }
   evacuations_ = evacuations;
   if (evacuations_.Contains(self_.data_centre))
-    own_server_.Drain(server::DrainSource::kEvacuation);
+    local_server_.Drain(server::DrainSource::kEvacuation);
   else
-    own_server_.Undrain(server::DrainSource::kEvacuation);
+    local_server_.Undrain(server::DrainSource::kEvacuation);
   PublishSnapshot();
 }
 
-void Control::Evacuate(const evacuation_store::EvacuationOrder& order,
-                       evacuation_store::EvacuationWriter::Handler handler) {
+void ControlPlane::Evacuate(
+    const evacuation_store::EvacuationOrder& order,
+    evacuation_store::EvacuationWriter::Handler handler) {
   evacuation_writer_.Carry(
       order, [this, handler = std::move(handler)](const auto& done) {
         evacuation_reader_.ReadNow();
@@ -263,42 +265,43 @@
       });
 }
 
-void Control::OnOwnServerChanged() {
-  const server::ServerState& server = own_server_.state();
-  server_finder_.Stop();
+void ControlPlane::OnLocalServerChanged() {
+  const server::ServerState& server = local_server_.state();
+  server_discovery_.Stop();
   ++self_.incarnation;
   self_.server.reset();
   if (server.announced) {
-    self_.server = membership::ServerAnnouncement{
-        server.service, server.admission.slots, server.draining, OwnColdRate()};
+    self_.server =
+        membership::ServerAnnouncement{server.service, server.admission.slots,
+                                       server.draining, LocalServerColdRate()};
   }
   membership_.Update(self_);
   PublishServer();
 }
 
-void Control::TellStoreLost(bool has_lost) {
+void ControlPlane::OnStoreLossChanged(bool has_lost) {
   ++self_.incarnation;
   self_.has_lost_store = has_lost;
   membership_.Update(self_);
 }
 
-bool Control::IsDeclared(const std::string& service) const {
+bool ControlPlane::IsDeclared(const std::string& service) const {
   return configuration_.configuration().FindService(service) != nullptr;
 }
 
-void Control::FindServer() {
+void ControlPlane::StartServerDiscovery() {
   const auto* declared =
       configuration_.configuration().FindService(settings_.service);
   if (declared) {
-    server_finder_.Look(
+    server_discovery_.Start(
         {settings_.server_address, settings_.service, declared->health_path});
   }
 }
 
-void Control::OnGateReport(const gate::GateReport& report) {
+void ControlPlane::OnGateReport(const gate::GateReport& report) {
   gate_report_ = report;
-  own_server_.OnAnswer(report.last_answer);
-  own_server_.OnColdReported(report.life, report.cold_until);
+  local_server_.OnAnswer(report.last_answer);
+  local_server_.OnColdReported(report.life, report.cold_until);
 }
 
 }  // namespace chestnutport::node
--- a/src/libs/node/control.h
+++ b/src/libs/node/control_plane.h
@@ -1,7 +1,7 @@
-// The control thread of a node: membership, configuration, the operators' API,
-// and the announcements of this node's own server.
-#ifndef NODE_CONTROL_H_
-#define NODE_CONTROL_H_
+// The control plane of a node: membership, configuration, the operators' API
+// and the announcements of the local server. Runs on the control thread.
+#ifndef NODE_CONTROL_PLANE_H_
+#define NODE_CONTROL_PLANE_H_
 
 #include <functional>
 #include <memory>
@@ -28,48 +28,50 @@
 #include "node/adapters.h"
 #include "operators/metrics_api.h"
 #include "operators/operator_api.h"
-#include "server/own_server.h"
-#include "server/server_finder.h"
+#include "server/local_server.h"
+#include "server/server_discovery.h"
 #include "settings/node_settings.h"
 #include "store/store_client.h"
 
 namespace chestnutport::node {
 
-class Control {
+class ControlPlane {
  public:
-  // How the control thread reaches the others. Each is called on the control
-  // thread and must not block.
+  // Publish state to the traffic threads. Called on the control thread; must
+  // not block.
   struct Outputs {
     std::function<void(ingress::TrafficSnapshot)> publish_snapshot;
     std::function<void(server::ServerState)> publish_server;
     std::function<void(const quarantine::SharedVerdicts&)> publish_verdicts;
-    // The nodes of this node's service, repeated also without a change.
+    // The nodes that serve this node's service. Published periodically, also if
+    // unchanged, as a view is valid for a limited time only.
     std::function<void(std::vector<keys::OwnerNode>, base::Instant as_of)>
         publish_key_view;
   };
 
-  // `loop` and `metrics` must outlive the control.
-  Control(net::EventLoop& loop,
-          const settings::NodeSettings& settings,
-          membership::Member self,
-          const control_calls::PeerKeys& keys,
-          operators::MetricsCollector& metrics,
-          const Adapters& adapters,
-          Outputs outputs,
-          const base::Random& random);
-  ~Control();
+  // `loop`, `settings` and `metrics` must outlive this object.
+  ControlPlane(net::EventLoop& loop,
+               const settings::NodeSettings& settings,
+               membership::Member self,
+               const control_calls::PeerKeys& keys,
+               operators::MetricsCollector& metrics,
+               const Adapters& adapters,
+               Outputs outputs,
+               const base::Random& random);
+  ~ControlPlane();
 
-  // Binds the listeners of this thread. Call before the loop runs.
+  // Binds the listeners of the control thread. Call before the loop runs.
   base::Result<bool> Listen();
-  // Takes the address of the gate's listener, and starts.
+  // Starts the control plane. `peer_address` is the address of the gate's
+  // listener.
   void Start(const base::SocketAddress& peer_address);
-  // Makes the fleet stop sending work here.
+  // Makes the fleet stop sending requests to the local server.
   void Drain(server::DrainSource source);
-  // From now on callers are told that this node is not ready.
+  // Makes the readiness check fail from now on.
   void BeginStop() { stopping_ = true; }
-  void Undrain(server::DrainSource source) { own_server_.Undrain(source); }
+  void Undrain(server::DrainSource source) { local_server_.Undrain(source); }
   void OnGateReport(const gate::GateReport& report);
-  // Of this node's server.
+  // The local server has crashed.
   void OnServerCrash(const quarantine::ServerCrash& crash) {
     quarantine_.OnServerCrash(crash);
   }
@@ -77,32 +79,32 @@
     quarantine_.OnAnswered(fingerprint);
   }
 
-  // The addresses of this thread's listeners, bound.
+  // Bound addresses of the listeners.
   const base::SocketAddress& operator_address() const;
   const base::SocketAddress& server_address() const;
   const base::SocketAddress& control_address() const;
   const base::SocketAddress& gossip_address() const;
 
  private:
-  // What the operators' API shows and does.
-  operators::OperatedNode ForOperators();
+  // Returns what the operators' API may read and change.
+  operators::ManagedNode MakeManagedNode();
   bool IsReady() const;
   void SetDraining(bool draining);
-  // Reads the store anew after it.
+  // Executes the order, then reads the evacuations from the store again.
   void Evacuate(const evacuation_store::EvacuationOrder& order,
                 evacuation_store::EvacuationWriter::Handler handler);
   base::Result<bool> ListenForMetrics();
   void OnMembers(std::vector<membership::Member> members);
   void OnEvacuations(const evacuation::Evacuations& evacuations);
-  void OnOwnServerChanged();
-  void TellStoreLost(bool has_lost);
+  void OnLocalServerChanged();
+  void OnStoreLossChanged(bool has_lost);
   bool IsDeclared(const std::string& service) const;
-  // Requests a second that the own server is given while it is cold; zero: it
-  // is warm, or the rate is not limited.
-  double OwnColdRate() const;
+  // Returns the rate limit of the local server in requests per second while it
+  // is cold; zero if it is warm or the rate is not limited.
+  double LocalServerColdRate() const;
   void PublishServer();
   void PublishSnapshot();
-  void FindServer();
+  void StartServerDiscovery();
   void AddControlCalls();
   void PublishKeyView();
 
@@ -121,15 +123,15 @@
   evacuation_store::EvacuationReader evacuation_reader_;
   evacuation_store::EvacuationWriter evacuation_writer_;
   evacuation::Evacuations evacuations_;
-  server::OwnServer own_server_;
-  server::ServerFinder server_finder_;
+  server::LocalServer local_server_;
+  server::ServerDiscovery server_discovery_;
   operators::MetricsApi metrics_;
   operators::OperatorApi operator_api_;
   std::unique_ptr<net::HttpServer> operator_listener_;
-  // Open to whoever gathers metrics, without a token; null: not asked for.
+  // Serves metrics without a token; null if not configured.
   std::unique_ptr<net::HttpServer> metrics_listener_;
   std::vector<membership::Member> members_;
-  size_t most_members_ = 1;
+  size_t max_members_seen_ = 1;
   gate::GateReport gate_report_;
   bool stopping_ = false;
   net::EventLoop::TimerId key_view_timer_ = 0;
@@ -137,4 +139,4 @@
 
 }  // namespace chestnutport::node
 
-#endif  // NODE_CONTROL_H_
+#endif  // NODE_CONTROL_PLANE_H_
--- a/src/libs/node/control_publishing.cc
+++ b/src/libs/node/control_plane_publishing.cc
@@ -1,16 +1,16 @@
-// What the control thread tells the traffic threads.
+// Publishes state from the control thread to the traffic threads.
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
 #include "ingress/key_owner_view.h"
-#include "node/control.h"
+#include "node/control_plane.h"
 #include "routing/server_filter.h"
 
 namespace chestnutport::node {
 namespace {
 
-// Several times within the validity of a view.
+// A view stays valid for several of these intervals.
 constexpr std::chrono::milliseconds kKeyViewInterval(500);
 
 routing::ServerCandidate ToCandidate(
@@ -62,8 +62,8 @@
 
 }  // namespace
 
-double Control::OwnColdRate() const {
-  const server::ServerState& server = own_server_.state();
+double ControlPlane::LocalServerColdRate() const {
+  const server::ServerState& server = local_server_.state();
   const auto* declared =
       configuration_.configuration().FindService(server.service);
   if (!declared || base::Clock::now() >= server.cold_until)
@@ -71,8 +71,8 @@
   return ColdOptionsOf(*declared, settings_).rate;
 }
 
-void Control::PublishServer() {
-  server::ServerState server = own_server_.state();
+void ControlPlane::PublishServer() {
+  server::ServerState server = local_server_.state();
   for (const auto& service : configuration_.configuration().services) {
     if (service.name == server.service)
       ApplyDeclaration(service, settings_, server);
@@ -80,7 +80,7 @@
   outputs_.publish_server(std::move(server));
 }
 
-void Control::PublishSnapshot() {
+void ControlPlane::PublishSnapshot() {
   ingress::TrafficSnapshot snapshot;
   snapshot.configuration = configuration_.shared_configuration();
   for (const membership::Member& member : members_) {
@@ -89,19 +89,19 @@
           ToCandidate(member, evacuations_));
   }
   if (settings_.adapter != settings::AdapterKind::kOwn) {
-    // The most that were seen: a node that is cut off from the others must not
-    // take their part of what all may spend.
-    most_members_ = std::max(most_members_, members_.size());
+    // Uses the maximum number of members seen, so that a partitioned node does
+    // not take the other nodes' share of the fleet's retry budget.
+    max_members_seen_ = std::max(max_members_seen_, members_.size());
     snapshot.retries =
         calls::PartOfFleet({settings_.fleet_retry_share,
                             static_cast<double>(settings_.fleet_retry_burst)},
-                           most_members_);
+                           max_members_seen_);
   }
   outputs_.publish_snapshot(std::move(snapshot));
 }
 
-void Control::PublishKeyView() {
-  const std::string& service = own_server_.state().service;
+void ControlPlane::PublishKeyView() {
+  const std::string& service = local_server_.state().service;
   const auto* declared = configuration_.configuration().FindService(service);
   routing::ServerFilter filter;
   if (declared)
@@ -114,7 +114,8 @@
       servers.push_back(ToCandidate(member, evacuations_));
     }
   }
-  // Read anew: a loop that was held up must not date its view too early.
+  // Reads the clock again instead of the loop time, which would be too early
+  // after a delay of the loop.
   outputs_.publish_key_view(ingress::ToOwnerNodes(servers), base::Clock::now());
   key_view_timer_ =
       loop_.CallAfter(kKeyViewInterval, [this] { PublishKeyView(); });
--- a/src/libs/node/own_configuration_form.h
+++ b/src/libs/node/native_configuration_format.h
@@ -1,6 +1,7 @@
-// The product's own form: a head, and documents under their hashes.
-#ifndef NODE_OWN_CONFIGURATION_FORM_H_
-#define NODE_OWN_CONFIGURATION_FORM_H_
+// Native format of the configuration in the store: a head, and documents that
+// are stored under their hashes. Used if the setting `adapter` is `own`.
+#ifndef NODE_NATIVE_CONFIGURATION_FORMAT_H_
+#define NODE_NATIVE_CONFIGURATION_FORMAT_H_
 
 #include <string>
 
@@ -8,9 +9,9 @@
 
 namespace chestnutport::node {
 
-class OwnConfigurationForm {
+class NativeConfigurationFormat {
  public:
-  explicit OwnConfigurationForm(const std::string& fleet);
+  explicit NativeConfigurationFormat(const std::string& fleet);
 
   std::string HeadKey() const { return head_key_; }
   std::optional<fleet_configuration::PublishedHead> ReadHead(
@@ -25,4 +26,4 @@
 
 }  // namespace chestnutport::node
 
-#endif  // NODE_OWN_CONFIGURATION_FORM_H_
+#endif  // NODE_NATIVE_CONFIGURATION_FORMAT_H_
--- a/src/libs/node/node.cc
+++ b/src/libs/node/node.cc
@@ -14,8 +14,8 @@
 #include "gate/gate.h"
 #include "ingress/ingress.h"
 #include "net/event_loop.h"
-#include "node/control.h"
-#include "node/settings_watch.h"
+#include "node/control_plane.h"
+#include "node/settings_watcher.h"
 #include "operators/metrics_collector.h"
 #include "telemetry/log.h"
 
@@ -25,17 +25,19 @@
 using telemetry::Event;
 using telemetry::LogEvent;
 
-// Kept of the grace for the end itself: threads to join, lines to write.
+// Part of the stop grace that is reserved for the shutdown itself: joining the
+// threads and writing the log. At most 1/kStopMarginDivisor of the grace.
 constexpr std::chrono::milliseconds kStopMargin(700);
-constexpr int kMarginPart = 5;
-// Of the grace, the part in which others may learn that this node leaves.
-constexpr int kNoticePart = 2;
-// So long before traffic ends, others are told that the server beside takes
-// nothing more, or for half of the notice if that is shorter. They hear it
-// sooner; until then it serves them: a third of a small fleet would be idle
-// while its nodes are restarted in turn.
+constexpr int kStopMarginDivisor = 5;
+// The leave notice, during which others learn that this node stops, takes at
+// most 1/kNoticeDivisor of the remaining grace.
+constexpr int kNoticeDivisor = 2;
+// The local server is announced as draining this long before traffic ends, or
+// for half of the leave notice if that is shorter. Gossip takes less time than
+// this. The server keeps serving other nodes until then: otherwise a third of a
+// small fleet would be idle during a rolling restart.
 constexpr std::chrono::seconds kServerNotice(1);
-constexpr int kServerNoticePart = 2;
+constexpr int kServerNoticeDivisor = 2;
 constexpr int kTrafficThreads = 2;
 
 base::Random SeededRandom() {
@@ -111,7 +113,7 @@
             metrics,
             adapters,
             {[this](ingress::TrafficSnapshot snapshot) {
-               TellGate(snapshot.configuration);
+               PublishConfigurationToGate(snapshot.configuration);
                ingress_loop.Post(
                    [this, snapshot = std::move(snapshot)]() mutable {
                      ingress.SetSnapshot(std::move(snapshot));
@@ -139,8 +141,10 @@
              [this] { return InFlight("gate", gate.in_flight()); }}};
   }
 
-  // The gate knows the declared names; it needs no more of a snapshot.
-  void TellGate(const declarations::SharedConfiguration& configuration) {
+  // The gate needs only the configuration of a snapshot, and only if its
+  // revision has changed.
+  void PublishConfigurationToGate(
+      const declarations::SharedConfiguration& configuration) {
     if (std::exchange(gate_revision, configuration->revision) ==
         configuration->revision) {
       return;
@@ -160,11 +164,11 @@
   ingress::Ingress ingress;
   operators::MetricsCollector metrics;
   uint64_t gate_revision = 0;
-  Control control;
-  std::unique_ptr<SettingsWatch> settings_watch;
+  ControlPlane control;
+  std::unique_ptr<SettingsWatcher> settings_watcher;
   int signal_fd = -1;
   bool stopping = false;
-  int empty_threads = 0;  // Traffic threads that have nothing in flight.
+  int drained_threads = 0;  // Traffic threads with nothing in flight.
 };
 
 Node::Node(const settings::NodeSettings& settings,
@@ -172,12 +176,15 @@
            const std::string& settings_path)
     : settings_(settings),
       threads_(std::make_unique<Threads>(settings_, adapters)) {
-  // From the beginning: one that comes while the node starts is handled then.
+  // Blocked before the node starts, so that a signal that arrives during
+  // startup stays pending and is handled by Run().
   const sigset_t signals = HandledSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-  threads_->settings_watch = std::make_unique<SettingsWatch>(
+  threads_->settings_watcher = std::make_unique<SettingsWatcher>(
       threads_->control_loop, settings_path,
-      [this](const settings::NodeSettings& changed) { OnSettings(changed); });
+      [this](const settings::NodeSettings& changed) {
+        OnSettingsChanged(changed);
+      });
 }
 
 Node::~Node() {
@@ -213,7 +220,7 @@
   threads_->signal_fd = signalfd(-1, &signals, SFD_CLOEXEC | SFD_NONBLOCK);
   threads_->control_loop.Watch(threads_->signal_fd, EPOLLIN,
                                [this](uint32_t) { OnSignal(); });
-  threads_->settings_watch->Start();
+  threads_->settings_watcher->Start();
   std::thread gate_thread([this] { threads_->gate_loop.Run(); });
   std::thread ingress_thread([this] { threads_->ingress_loop.Run(); });
   threads_->control_loop.Run();
@@ -229,13 +236,13 @@
   while (read(threads_->signal_fd, &signal, sizeof(signal)) ==
          static_cast<ssize_t>(sizeof(signal))) {
     if (signal.ssi_signo == SIGHUP)
-      threads_->settings_watch->Look(true);
+      threads_->settings_watcher->Reload(true);
     else
       BeginStop();
   }
 }
 
-void Node::OnSettings(const settings::NodeSettings& changed) {
+void Node::OnSettingsChanged(const settings::NodeSettings& changed) {
   settings_.stop_grace = changed.stop_grace;
   settings_.leave_notice = changed.leave_notice;
   settings_.operator_tokens = changed.operator_tokens;
@@ -249,37 +256,38 @@
     return;
   LogEvent(Event::kStopping, {});
   threads_->control.BeginStop();
-  // What sends SIGTERM ends the process by force at the end of the grace.
+  // The sender of SIGTERM kills the process when the grace has expired.
   const base::Duration grace =
       settings_.stop_grace -
-      std::min<base::Duration>(kStopMargin, settings_.stop_grace / kMarginPart);
+      std::min<base::Duration>(kStopMargin,
+                               settings_.stop_grace / kStopMarginDivisor);
   const base::Duration notice =
-      std::min(settings_.leave_notice, grace / kNoticePart);
+      std::min(settings_.leave_notice, grace / kNoticeDivisor);
   const base::Duration server_notice =
-      std::min<base::Duration>(kServerNotice, notice / kServerNoticePart);
+      std::min<base::Duration>(kServerNotice, notice / kServerNoticeDivisor);
   threads_->control_loop.CallAfter(notice - server_notice, [this] {
     threads_->control.Drain(server::DrainSource::kStop);
   });
   threads_->control_loop.CallAfter(notice, [this] { DrainTraffic(); });
-  threads_->control_loop.CallAfter(grace, [this] { EndStop(); });
+  threads_->control_loop.CallAfter(grace, [this] { FinishStop(); });
 }
 
 void Node::DrainTraffic() {
-  const auto thread_is_empty = [this] {
-    threads_->control_loop.Post([this] { OnThreadEmpty(); });
+  const auto on_drained = [this] {
+    threads_->control_loop.Post([this] { OnThreadDrained(); });
   };
   threads_->gate_loop.Post(
-      [this, thread_is_empty] { threads_->gate.Drain(thread_is_empty); });
+      [this, on_drained] { threads_->gate.Drain(on_drained); });
   threads_->ingress_loop.Post(
-      [this, thread_is_empty] { threads_->ingress.Drain(thread_is_empty); });
+      [this, on_drained] { threads_->ingress.Drain(on_drained); });
 }
 
-void Node::OnThreadEmpty() {
-  if (++threads_->empty_threads == kTrafficThreads)
-    EndStop();
+void Node::OnThreadDrained() {
+  if (++threads_->drained_threads == kTrafficThreads)
+    FinishStop();
 }
 
-void Node::EndStop() {
+void Node::FinishStop() {
   threads_->control_loop.Stop();
 }
 
--- a/src/libs/node/node.h
+++ b/src/libs/node/node.h
@@ -1,4 +1,4 @@
-// One node: its threads, and what they tell each other.
+// A node: its threads and the messages between them.
 #ifndef NODE_NODE_H_
 #define NODE_NODE_H_
 
@@ -11,13 +11,13 @@
 
 namespace chestnutport::node {
 
-// The control thread is the one that calls Run(); the ingress and the gate
-// have one thread each. The threads share nothing: they post values to each
-// other.
+// The thread that calls Run() is the control thread; the ingress and the gate
+// run on one thread each. The threads communicate by posting values to each
+// other's event loop.
 class Node {
  public:
-  // `settings_path`: the file that the settings came from, to take up changes
-  // of it; empty: there is none.
+  // `settings_path` is the settings file, which is watched for changes; empty
+  // if there is none.
   Node(const settings::NodeSettings& settings,
        const Adapters& adapters,
        const std::string& settings_path);
@@ -33,11 +33,11 @@
 
   void OnSignal();
   void BeginStop();
-  // Takes over what may change while the node runs.
-  void OnSettings(const settings::NodeSettings& changed);
+  // Applies the settings that may change while the node runs.
+  void OnSettingsChanged(const settings::NodeSettings& changed);
   void DrainTraffic();
-  void OnThreadEmpty();
-  void EndStop();
+  void OnThreadDrained();
+  void FinishStop();
 
   settings::NodeSettings settings_;
   std::unique_ptr<Threads> threads_;
--- a/src/libs/node/settings_watch.cc
+++ b/src/libs/node/settings_watcher.cc
@@ -1,4 +1,4 @@
-#include "node/settings_watch.h"
+#include "node/settings_watcher.h"
 
 #include <utility>
 
@@ -11,35 +11,35 @@
 using telemetry::Event;
 using telemetry::LogEvent;
 
-// A changed file is in force within seconds, at a read of a few kilobytes.
-constexpr std::chrono::seconds kLookInterval(5);
+// Changes take effect within seconds, at the cost of reading a few kilobytes.
+constexpr std::chrono::seconds kPollInterval(5);
 
 }  // namespace
 
-SettingsWatch::SettingsWatch(net::EventLoop& loop,
-                             std::string path,
-                             Handler handler)
+SettingsWatcher::SettingsWatcher(net::EventLoop& loop,
+                                 std::string path,
+                                 Handler handler)
     : loop_(loop), path_(std::move(path)), handler_(std::move(handler)) {}
 
-SettingsWatch::~SettingsWatch() {
+SettingsWatcher::~SettingsWatcher() {
   loop_.Cancel(timer_);
 }
 
-void SettingsWatch::Start() {
+void SettingsWatcher::Start() {
   if (path_.empty())
     return;
   text_ = settings::ReadSettingsText(path_).value_or("");
-  LookAgain();
+  SchedulePoll();
 }
 
-void SettingsWatch::LookAgain() {
-  timer_ = loop_.CallAfter(kLookInterval, [this] {
-    Look(false);
-    LookAgain();
+void SettingsWatcher::SchedulePoll() {
+  timer_ = loop_.CallAfter(kPollInterval, [this] {
+    Reload(false);
+    SchedulePoll();
   });
 }
 
-void SettingsWatch::Look(bool asked) {
+void SettingsWatcher::Reload(bool is_requested) {
   if (path_.empty())
     return;
   const auto text = settings::ReadSettingsText(path_);
@@ -48,7 +48,7 @@
     return;
   }
   if (*text == text_) {
-    if (asked)
+    if (is_requested)
       LogEvent(Event::kSettingsReloaded, {{"changed", "no"}});
     return;
   }
--- a/src/libs/operators/drain_order.cc
+++ b/src/libs/operators/drain_request.cc
@@ -1,4 +1,4 @@
-#include "operators/drain_order.h"
+#include "operators/drain_request.h"
 
 #include <nlohmann/json.hpp>
 
@@ -6,18 +6,18 @@
 
 using nlohmann::json;
 
-std::string DrainOrder::ToJson() const {
+std::string DrainRequest::ToJson() const {
   return json{{"draining", draining}}.dump();
 }
 
-std::optional<DrainOrder> DrainOrder::FromJson(std::string_view text) {
+std::optional<DrainRequest> DrainRequest::FromJson(std::string_view text) {
   const json object = json::parse(text, nullptr, false);
   if (!object.is_object())
     return std::nullopt;
   const auto draining = object.find("draining");
   if (draining == object.end() || !draining->is_boolean())
     return std::nullopt;
-  return DrainOrder{draining->get<bool>()};
+  return DrainRequest{draining->get<bool>()};
 }
 
 }  // namespace chestnutport::operators
--- a/src/libs/operators/drain_order.h
+++ b/src/libs/operators/drain_request.h
@@ -1,6 +1,6 @@
 // The control call node.drain, by which an operator's wish is forwarded.
-#ifndef OPERATORS_DRAIN_ORDER_H_
-#define OPERATORS_DRAIN_ORDER_H_
+#ifndef OPERATORS_DRAIN_REQUEST_H_
+#define OPERATORS_DRAIN_REQUEST_H_
 
 #include <optional>
 #include <string>
@@ -10,13 +10,13 @@
 
 inline constexpr char kDrainMethod[] = "node.drain";
 
-struct DrainOrder {
+struct DrainRequest {
   bool draining = true;  // False: take new work again.
 
   std::string ToJson() const;
-  static std::optional<DrainOrder> FromJson(std::string_view text);
+  static std::optional<DrainRequest> FromJson(std::string_view text);
 };
 
 }  // namespace chestnutport::operators
 
-#endif  // OPERATORS_DRAIN_ORDER_H_
+#endif  // OPERATORS_DRAIN_REQUEST_H_
--- a/src/libs/operators/operated_node.h
+++ b/src/libs/operators/managed_node.h
@@ -1,6 +1,6 @@
 // What operators see and do of the node that they speak to.
-#ifndef OPERATORS_OPERATED_NODE_H_
-#define OPERATORS_OPERATED_NODE_H_
+#ifndef OPERATORS_MANAGED_NODE_H_
+#define OPERATORS_MANAGED_NODE_H_
 
 #include <functional>
 #include <vector>
@@ -16,7 +16,7 @@
 namespace chestnutport::operators {
 
 // All that is referred to must outlive it. For the control thread.
-struct OperatedNode {
+struct ManagedNode {
   const membership::Member& self;
   const std::vector<membership::Member>& members;
   // As far as this node knows.
@@ -37,4 +37,4 @@
 
 }  // namespace chestnutport::operators
 
-#endif  // OPERATORS_OPERATED_NODE_H_
+#endif  // OPERATORS_MANAGED_NODE_H_
--- a/src/libs/operators/operator_api.cc
+++ b/src/libs/operators/operator_api.cc
@@ -3,8 +3,8 @@
 #include <utility>
 
 #include "base/encoding.h"
-#include "operators/operator_answer.h"
-#include "operators/operator_calls.h"
+#include "operators/operator_handlers.h"
+#include "operators/operator_response.h"
 
 namespace chestnutport::operators {
 namespace {
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-OperatorApi::OperatorApi(OperatedNode node,
+OperatorApi::OperatorApi(ManagedNode node,
                          const settings::NodeSettings& settings)
     : node_(std::move(node)), settings_(settings) {}
 
@@ -23,7 +23,7 @@
   const std::string call = request.method + " " + request.target;
   // Asked by whatever directs callers to nodes, which holds no token.
   if (call == "GET /v1/ready") {
-    AnswerReady(node_, std::move(reply));
+    HandleReady(node_, std::move(reply));
     return;
   }
   const std::string who = Authenticate(request);
@@ -32,29 +32,29 @@
     return;
   }
   if (call == "POST /v1/plan")
-    AnswerPlan(node_, request, std::move(reply));
+    HandlePlan(node_, request, std::move(reply));
   else if (call == "POST /v1/confirm")
-    AnswerConfirm(node_, request, who, std::move(reply));
+    HandleConfirm(node_, request, who, std::move(reply));
   else if (call == "GET /v1/status")
-    AnswerStatus(node_, std::move(reply));
+    HandleStatus(node_, std::move(reply));
   else if (call == "GET /v1/revisions")
-    AnswerRevisions(node_, std::move(reply));
+    HandleRevisions(node_, std::move(reply));
   else if (call == "GET /v1/history")
-    AnswerHistory(node_, std::move(reply));
+    HandleHistory(node_, std::move(reply));
   else if (request.method == "GET" && IsMetricsTarget(request.target))
     node_.metrics.Answer(request.target, std::move(reply));
   else if (call == "GET /v1/quarantine")
-    AnswerQuarantine(node_, std::move(reply));
+    HandleQuarantine(node_, std::move(reply));
   else if (call == "POST /v1/release")
-    AnswerRelease(node_, request, who, std::move(reply));
+    HandleRelease(node_, request, who, std::move(reply));
   else if (call == "GET /v1/evacuations")
-    AnswerEvacuations(node_, std::move(reply));
+    HandleEvacuations(node_, std::move(reply));
   else if (call == "POST /v1/evacuate")
-    AnswerEvacuate(node_, request, who, std::move(reply));
+    HandleEvacuate(node_, request, who, std::move(reply));
   else if (call == "POST /v1/drain")
-    AnswerDrain(node_, request, true, std::move(reply));
+    HandleDrain(node_, request, true, std::move(reply));
   else if (call == "POST /v1/undrain")
-    AnswerDrain(node_, request, false, std::move(reply));
+    HandleDrain(node_, request, false, std::move(reply));
   else
     SendError(reply, ErrorKind::kNotFound);
 }
--- a/src/libs/operators/operator_api.h
+++ b/src/libs/operators/operator_api.h
@@ -6,7 +6,7 @@
 
 #include "net/http_message.h"
 #include "net/reply.h"
-#include "operators/operated_node.h"
+#include "operators/managed_node.h"
 #include "settings/node_settings.h"
 
 namespace chestnutport::operators {
@@ -14,7 +14,7 @@
 class OperatorApi {
  public:
   // Both must outlive the API.
-  OperatorApi(OperatedNode node, const settings::NodeSettings& settings);
+  OperatorApi(ManagedNode node, const settings::NodeSettings& settings);
 
   void OnRequest(const net::HttpRequest& request, net::Reply reply);
 
@@ -22,7 +22,7 @@
   // The name of the operator whose token is shown; empty: nobody's.
   std::string Authenticate(const net::HttpRequest& request) const;
 
-  const OperatedNode node_;
+  const ManagedNode node_;
   const settings::NodeSettings& settings_;
 };
 
--- a/src/libs/operators/operator_confirm.cc
+++ b/src/libs/operators/operator_confirm.cc
@@ -6,8 +6,8 @@
 #include "absl/time/time.h"
 #include "configuration/change.h"
 #include "configuration/plan.h"
-#include "operators/operator_answer.h"
-#include "operators/operator_calls.h"
+#include "operators/operator_handlers.h"
+#include "operators/operator_response.h"
 
 namespace chestnutport::operators {
 namespace {
@@ -34,7 +34,7 @@
 }
 
 // What was confirmed after the plan's base: per key, by whom and when.
-json ChangedSince(const OperatedNode& node,
+json ChangedSince(const ManagedNode& node,
                   const Finish& finish,
                   uint64_t base_revision) {
   json changes = json::array();
@@ -56,7 +56,7 @@
 }
 
 void SendVerdict(net::Reply& reply,
-                 const OperatedNode& node,
+                 const ManagedNode& node,
                  const Finish& finish,
                  uint64_t base_revision) {
   switch (finish.verdict) {
@@ -83,7 +83,7 @@
 
 }  // namespace
 
-void AnswerConfirm(const OperatedNode& node,
+void HandleConfirm(const ManagedNode& node,
                    const net::HttpRequest& request,
                    const std::string& who,
                    net::Reply reply) {
--- a/src/libs/operators/operator_declarations.cc
+++ b/src/libs/operators/operator_declarations.cc
@@ -2,8 +2,8 @@
 #include <utility>
 
 #include "declarations/checker.h"
-#include "operators/operator_answer.h"
-#include "operators/operator_calls.h"
+#include "operators/operator_handlers.h"
+#include "operators/operator_response.h"
 
 namespace chestnutport::operators {
 namespace {
--- a/src/libs/operators/operator_drain.cc
+++ b/src/libs/operators/operator_drain.cc
@@ -3,9 +3,9 @@
 #include <utility>
 #include <vector>
 
-#include "operators/drain_order.h"
-#include "operators/operator_answer.h"
-#include "operators/operator_calls.h"
+#include "operators/drain_request.h"
+#include "operators/operator_handlers.h"
+#include "operators/operator_response.h"
 
 namespace chestnutport::operators {
 namespace {
@@ -30,7 +30,7 @@
   return object["node"].get<std::string>();
 }
 
-std::vector<Member> FindMembers(const OperatedNode& node,
+std::vector<Member> FindMembers(const ManagedNode& node,
                                 const std::string& wanted) {
   std::vector<Member> found;
   for (const Member& member : node.members) {
@@ -41,9 +41,9 @@
   return found;
 }
 
-void Forward(const OperatedNode& node,
+void Forward(const ManagedNode& node,
              const Member& member,
-             const DrainOrder& order,
+             const DrainRequest& order,
              net::Reply reply) {
   // A std::function must be copyable; the reply is not.
   auto held = std::make_shared<net::Reply>(std::move(reply));
@@ -64,7 +64,7 @@
 
 }  // namespace
 
-void AnswerDrain(const OperatedNode& node,
+void HandleDrain(const ManagedNode& node,
                  const net::HttpRequest& request,
                  bool draining,
                  net::Reply reply) {
--- a/src/libs/operators/operator_evacuation.cc
+++ b/src/libs/operators/operator_evacuation.cc
@@ -5,8 +5,8 @@
 #include <set>
 #include <utility>
 
-#include "operators/operator_answer.h"
-#include "operators/operator_calls.h"
+#include "operators/operator_handlers.h"
+#include "operators/operator_response.h"
 #include "telemetry/log.h"
 
 namespace chestnutport::operators {
@@ -33,7 +33,7 @@
   }
 }
 
-bool IsKnown(const OperatedNode& node, const std::string& data_centre) {
+bool IsKnown(const ManagedNode& node, const std::string& data_centre) {
   return std::ranges::any_of(node.members,
                              [&](const membership::Member& member) {
                                return member.data_centre == data_centre;
@@ -42,7 +42,7 @@
 
 // Servers that would take work with `evacuated`, by service.
 std::map<std::string, int> CountServers(
-    const OperatedNode& node,
+    const ManagedNode& node,
     const evacuation_store::DataCentres& evacuated) {
   std::map<std::string, int> servers;
   for (const membership::Member& member : node.members) {
@@ -57,7 +57,7 @@
   return servers;
 }
 
-void SendPlan(const OperatedNode& node,
+void SendPlan(const ManagedNode& node,
               const EvacuationChange& change,
               net::Reply& reply) {
   const auto& now = node.evacuations.data_centres;
@@ -77,11 +77,11 @@
 
 }  // namespace
 
-void AnswerEvacuations(const OperatedNode& node, net::Reply reply) {
+void HandleEvacuations(const ManagedNode& node, net::Reply reply) {
   SendJson(reply, {{"data_centres", node.evacuations.data_centres}});
 }
 
-void AnswerEvacuate(const OperatedNode& node,
+void HandleEvacuate(const ManagedNode& node,
                     const net::HttpRequest& request,
                     const std::string& who,
                     net::Reply reply) {
--- a/src/libs/operators/operator_calls.h
+++ b/src/libs/operators/operator_handlers.h
@@ -1,6 +1,6 @@
 // The calls of the operators' API, one source file each.
-#ifndef OPERATORS_OPERATOR_CALLS_H_
-#define OPERATORS_OPERATOR_CALLS_H_
+#ifndef OPERATORS_OPERATOR_HANDLERS_H_
+#define OPERATORS_OPERATOR_HANDLERS_H_
 
 #include <optional>
 #include <string>
@@ -8,59 +8,59 @@
 #include "declarations/configuration.h"
 #include "net/http_message.h"
 #include "net/reply.h"
-#include "operators/operated_node.h"
+#include "operators/managed_node.h"
 
 namespace chestnutport::operators {
 
 // POST /v1/plan {"services": {name: text}}
-void AnswerPlan(const OperatedNode& node,
+void HandlePlan(const ManagedNode& node,
                 const net::HttpRequest& request,
                 net::Reply reply);
 
 // POST /v1/confirm {"plan": id, "services": {name: text}}. `who` is the
 // operator's name.
-void AnswerConfirm(const OperatedNode& node,
+void HandleConfirm(const ManagedNode& node,
                    const net::HttpRequest& request,
                    const std::string& who,
                    net::Reply reply);
 
 // GET /v1/ready: 200 while callers should be directed to this node: it has a
 // configuration and is not being stopped; else 503.
-void AnswerReady(const OperatedNode& node, net::Reply reply);
+void HandleReady(const ManagedNode& node, net::Reply reply);
 
 // GET /v1/status: this node, and the members that it knows.
-void AnswerStatus(const OperatedNode& node, net::Reply reply);
+void HandleStatus(const ManagedNode& node, net::Reply reply);
 
 // GET /v1/revisions: which node holds which revision; each is asked.
-void AnswerRevisions(const OperatedNode& node, net::Reply reply);
+void HandleRevisions(const ManagedNode& node, net::Reply reply);
 
 // GET /v1/history: the confirmations, the newest first.
-void AnswerHistory(const OperatedNode& node, net::Reply reply);
+void HandleHistory(const ManagedNode& node, net::Reply reply);
 
 // POST /v1/drain and /v1/undrain {"node": name or id}; without a body: this
 // node.
-void AnswerDrain(const OperatedNode& node,
+void HandleDrain(const ManagedNode& node,
                  const net::HttpRequest& request,
                  bool draining,
                  net::Reply reply);
 
 // GET /v1/evacuations: the data centres that are evacuated.
-void AnswerEvacuations(const OperatedNode& node, net::Reply reply);
+void HandleEvacuations(const ManagedNode& node, net::Reply reply);
 
 // POST /v1/evacuate {"data_centre": name, "evacuated": bool, "plan": id}.
 // Without a plan: shows one, and changes nothing. `who` is the operator's name.
-void AnswerEvacuate(const OperatedNode& node,
+void HandleEvacuate(const ManagedNode& node,
                     const net::HttpRequest& request,
                     const std::string& who,
                     net::Reply reply);
 
 // GET /v1/quarantine: the requests that are suspected or in quarantine, and the
 // ends of servers that speak against them.
-void AnswerQuarantine(const OperatedNode& node, net::Reply reply);
+void HandleQuarantine(const ManagedNode& node, net::Reply reply);
 
 // POST /v1/release {"fingerprint": text}: on all nodes the request runs like
 // any other again. `who` is the operator's name.
-void AnswerRelease(const OperatedNode& node,
+void HandleRelease(const ManagedNode& node,
                    const net::HttpRequest& request,
                    const std::string& who,
                    net::Reply reply);
@@ -73,4 +73,4 @@
 
 }  // namespace chestnutport::operators
 
-#endif  // OPERATORS_OPERATOR_CALLS_H_
+#endif  // OPERATORS_OPERATOR_HANDLERS_H_
--- a/src/libs/operators/operator_history.cc
+++ b/src/libs/operators/operator_history.cc
@@ -1,14 +1,14 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "operators/operator_answer.h"
-#include "operators/operator_calls.h"
+#include "operators/operator_handlers.h"
+#include "operators/operator_response.h"
 
 namespace chestnutport::operators {
 
 using nlohmann::json;
 
-void AnswerHistory(const OperatedNode& node, net::Reply reply) {
+void HandleHistory(const ManagedNode& node, net::Reply reply) {
   const configuration::Head& head = node.configuration.held().head();
   json confirmations = json::array();
   for (auto entry = head.history.rbegin(); entry != head.history.rend();
--- a/src/libs/operators/operator_plan.cc
+++ b/src/libs/operators/operator_plan.cc
@@ -3,8 +3,8 @@
 #include <utility>
 
 #include "configuration/plan.h"
-#include "operators/operator_answer.h"
-#include "operators/operator_calls.h"
+#include "operators/operator_handlers.h"
+#include "operators/operator_response.h"
 
 namespace chestnutport::operators {
 namespace {
@@ -17,7 +17,7 @@
           {"before", change.before},       {"after", change.after}};
 }
 
-size_t CountServers(const OperatedNode& node, const std::string& service) {
+size_t CountServers(const ManagedNode& node, const std::string& service) {
   const auto count = std::ranges::count_if(
       node.members, [&](const membership::Member& member) {
         return member.server && member.server->service == service &&
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-void AnswerPlan(const OperatedNode& node,
+void HandlePlan(const ManagedNode& node,
                 const net::HttpRequest& request,
                 net::Reply reply) {
   const auto texts = ReadDeclarations(request, reply);
--- a/src/libs/operators/operator_quarantine.cc
+++ b/src/libs/operators/operator_quarantine.cc
@@ -2,8 +2,8 @@
 #include <utility>
 
 #include "base/encoding.h"
-#include "operators/operator_answer.h"
-#include "operators/operator_calls.h"
+#include "operators/operator_handlers.h"
+#include "operators/operator_response.h"
 #include "telemetry/log.h"
 
 namespace chestnutport::operators {
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-void AnswerQuarantine(const OperatedNode& node, net::Reply reply) {
+void HandleQuarantine(const ManagedNode& node, net::Reply reply) {
   const fleet::RequestQuarantine& quarantine = node.quarantine;
   json requests = json::array();
   for (const fleet::HeldRequest& held : quarantine.Held())
@@ -55,7 +55,7 @@
   SendJson(reply, {{"requests", requests}});
 }
 
-void AnswerRelease(const OperatedNode& node,
+void HandleRelease(const ManagedNode& node,
                    const net::HttpRequest& request,
                    const std::string& who,
                    net::Reply reply) {
--- a/src/libs/operators/operator_answer.cc
+++ b/src/libs/operators/operator_response.cc
@@ -1,4 +1,4 @@
-#include "operators/operator_answer.h"
+#include "operators/operator_response.h"
 
 #include <string>
 #include <utility>
--- a/src/libs/operators/operator_answer.h
+++ b/src/libs/operators/operator_response.h
@@ -1,6 +1,6 @@
 // Answers of the operators' API.
-#ifndef OPERATORS_OPERATOR_ANSWER_H_
-#define OPERATORS_OPERATOR_ANSWER_H_
+#ifndef OPERATORS_OPERATOR_RESPONSE_H_
+#define OPERATORS_OPERATOR_RESPONSE_H_
 
 #include <nlohmann/json.hpp>
 
@@ -18,4 +18,4 @@
 
 }  // namespace chestnutport::operators
 
-#endif  // OPERATORS_OPERATOR_ANSWER_H_
+#endif  // OPERATORS_OPERATOR_RESPONSE_H_
--- a/src/libs/operators/operator_revisions.cc
+++ b/src/libs/operators/operator_revisions.cc
@@ -5,8 +5,8 @@
 #include <vector>
 
 #include "configuration/fetch.h"
-#include "operators/operator_answer.h"
-#include "operators/operator_calls.h"
+#include "operators/operator_handlers.h"
+#include "operators/operator_response.h"
 
 namespace chestnutport::operators {
 namespace {
@@ -97,7 +97,7 @@
 
 }  // namespace
 
-void AnswerRevisions(const OperatedNode& node, net::Reply reply) {
+void HandleRevisions(const ManagedNode& node, net::Reply reply) {
   const uint64_t own = node.configuration.held().head().revision;
   std::make_shared<RevisionSurvey>(node.caller, own, std::move(reply))
       ->Run(node.self, node.members);
--- a/src/libs/operators/operator_status.cc
+++ b/src/libs/operators/operator_status.cc
@@ -1,21 +1,21 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "operators/operator_answer.h"
-#include "operators/operator_calls.h"
+#include "operators/operator_handlers.h"
+#include "operators/operator_response.h"
 
 namespace chestnutport::operators {
 
 using nlohmann::json;
 
-void AnswerReady(const OperatedNode& node, net::Reply reply) {
+void HandleReady(const ManagedNode& node, net::Reply reply) {
   if (node.is_ready())
     SendJson(reply, {{"ready", true}});
   else
     SendError(reply, base::ErrorKind::kConfigurationMissing);
 }
 
-void AnswerStatus(const OperatedNode& node, net::Reply reply) {
+void HandleStatus(const ManagedNode& node, net::Reply reply) {
   json members = json::array();
   for (const membership::Member& member : node.members)
     members.push_back(json::parse(member.ToJson()));
--- /dev/null
+++ b/src/libs/server/local_server.cc
@@ -0,0 +1,241 @@
+#include "server/local_server.h"
+
+#include <algorithm>
+#include <chrono>
+#include <utility>
+
+#include "absl/strings/str_cat.h"
+#include "telemetry/log.h"
+
+namespace chestnutport::server {
+namespace {
+
+using telemetry::Event;
+using telemetry::LogEvent;
+
+constexpr int kBadRequest = 400;
+constexpr int kNotFound = 404;
+constexpr char kServerPath[] = "/v1/server";
+constexpr std::chrono::milliseconds kPresenceCheckInterval(250);
+// Largest shift of the end of the cold phase that is not published as a change.
+// Announcements take about this long to arrive, so that the end computed from
+// each of them varies.
+constexpr std::chrono::milliseconds kColdTolerance(100);
+
+// Returns the path segment after kServerPath, or an empty string.
+std::string_view InstanceFromTarget(std::string_view target) {
+  target.remove_prefix(sizeof(kServerPath) - 1);
+  return target.starts_with('/') ? target.substr(1) : std::string_view();
+}
+
+}  // namespace
+
+LocalServer::LocalServer(net::EventLoop& loop,
+                         DeclaredPredicate is_declared,
+                         ChangedHandler changed)
+    : loop_(loop),
+      is_declared_(std::move(is_declared)),
+      changed_(std::move(changed)) {}
+
+LocalServer::~LocalServer() {
+  loop_.Cancel(timer_);
+}
+
+base::Result<bool> LocalServer::Listen(const base::SocketAddress& address) {
+  auto opened = net::HttpServer::Open(
+      loop_, address, net::HttpServerLimits{},
+      [this](const net::HttpRequest& request, net::Reply reply) {
+        OnRequest(request, std::move(reply));
+      });
+  if (!opened)
+    return opened.error();
+  listener_ = std::move(opened).value();
+  CheckPresence();
+  return true;
+}
+
+void LocalServer::Drain(DrainSource source) {
+  drain_sources_.insert(source);
+  UpdateDraining();
+}
+
+void LocalServer::Undrain(DrainSource source) {
+  const bool has_ended = drain_sources_.erase(source) > 0;
+  if (has_ended && source == DrainSource::kEvacuation)
+    ++state_.evacuations;
+  UpdateDraining();
+}
+
+void LocalServer::UpdateDraining() {
+  const bool draining = !drain_sources_.empty();
+  if (std::exchange(state_.draining, draining) == draining)
+    return;
+  if (draining)
+    LogEvent(Event::kServerDraining, {{"service", state_.service}});
+  changed_();
+}
+
+void LocalServer::OnRequest(const net::HttpRequest& request, net::Reply reply) {
+  const std::string call = request.method + " " + request.target;
+  if (call == absl::StrCat("POST ", kServerPath, "/drain")) {
+    Drain(DrainSource::kServer);
+  } else if (call == absl::StrCat("POST ", kServerPath, "/undrain")) {
+    Undrain(DrainSource::kServer);
+  } else if (request.method == "POST" &&
+             request.target.starts_with(kServerPath)) {
+    if (!HandleAnnouncement(request, InstanceFromTarget(request.target))) {
+      reply.Send({.status = kBadRequest, .body = last_fault_ + "\n"});
+      return;
+    }
+  } else if (request.method == "DELETE" &&
+             request.target.starts_with(kServerPath)) {
+    if (!HandleDeregistration(request, InstanceFromTarget(request.target))) {
+      reply.Send({.status = kBadRequest, .body = last_fault_ + "\n"});
+      return;
+    }
+  } else {
+    reply.Send({.status = kNotFound, .body = "no such call\n"});
+    return;
+  }
+  reply.Send({.status = 200,
+              .headers = {{"Content-Type", "application/json"}},
+              .body = "{}\n"});
+}
+
+bool LocalServer::HandleAnnouncement(const net::HttpRequest& request,
+                                     std::string_view instance) {
+  std::string fault;
+  auto announcement = ServerAnnouncement::FromJson(request.body, &fault);
+  if (announcement && !instance.empty())
+    announcement->instance = instance;
+  if (announcement)
+    fault = FindFault(*announcement);
+  if (!fault.empty()) {
+    LogFault(instance, fault);
+    return false;
+  }
+  last_fault_.clear();
+  if (!Apply(*announcement))
+    LogEvent(Event::kAnnouncementLate, {{"instance", announcement->instance}});
+  return true;
+}
+
+std::string LocalServer::FindFault(
+    const ServerAnnouncement& announcement) const {
+  // A server may announce itself before its service is declared, but an
+  // undeclared service does not replace a declared one.
+  const bool displaces = state_.announced &&
+                         state_.service != announcement.service &&
+                         is_declared_(state_.service);
+  if (displaces && !is_declared_(announcement.service))
+    return absl::StrCat("service ", announcement.service, " is not declared");
+  return "";
+}
+
+void LocalServer::LogFault(std::string_view instance,
+                           const std::string& fault) {
+  if (std::exchange(last_fault_, fault) == fault)
+    return;
+  LogEvent(Event::kAnnouncementRefused,
+           {{"instance", std::string(instance)}, {"fault", fault}});
+}
+
+void LocalServer::OnDiscovered(const ServerAnnouncement& found) {
+  if (!state_.announced)
+    Apply(found);
+}
+
+bool LocalServer::Apply(const ServerAnnouncement& announcement) {
+  using Verdict = ServerIncarnationTracker::Verdict;
+  const base::Instant now = base::Clock::now();
+  const bool is_overdue = !state_.announced || presence_.IsOverdue(now);
+  const Verdict verdict = incarnations_.OnAnnounced(announcement, is_overdue);
+  if (verdict == Verdict::kStale)
+    return false;
+  presence_.OnAnnounced(now);
+  const bool has_started = verdict == Verdict::kNewIncarnation ||
+                           !state_.announced ||
+                           state_.address != announcement.address;
+  const bool is_changed = has_started ||
+                          state_.service != announcement.service ||
+                          state_.admission.slots != announcement.slots ||
+                          state_.health_path != announcement.health_path;
+  state_.announced = true;
+  state_.service = announcement.service;
+  state_.address = announcement.address;
+  state_.admission.slots = announcement.slots;
+  state_.health_path = announcement.health_path;
+  state_.instance = announcement.instance;
+  if (has_started)
+    OnNewIncarnation(announcement);
+  const bool is_cold_new = UpdateColdUntil(announcement, now);
+  if (announcement.draining)
+    drain_sources_.insert(DrainSource::kServer);
+  if (is_changed || is_cold_new)
+    changed_();
+  UpdateDraining();
+  return true;
+}
+
+void LocalServer::OnNewIncarnation(const ServerAnnouncement& announcement) {
+  ++state_.life;
+  state_.cold_until = {};
+  state_.cold_reported_at = {};
+  drain_sources_.erase(DrainSource::kServer);
+  const std::string started_at =
+      absl::StrCat(announcement.started_at.count(), "ms");
+  LogEvent(Event::kServerAnnounced, {{"service", state_.service},
+                                     {"instance", state_.instance},
+                                     {"started_at", started_at},
+                                     {"address", state_.address.ToString()}});
+}
+
+bool LocalServer::UpdateColdUntil(const ServerAnnouncement& announcement,
+                                  base::Instant now) {
+  if (!announcement.cold_for)
+    return false;
+  const base::Instant previous = std::max(state_.cold_until, now);
+  state_.cold_reported_at = now;
+  state_.cold_until = now + *announcement.cold_for;
+  const base::Duration shift = std::max(state_.cold_until, now) - previous;
+  return std::chrono::abs(shift) > kColdTolerance;
+}
+
+void LocalServer::OnColdReported(uint64_t life, base::Instant cold_until) {
+  if (life != state_.life)
+    return;
+  const base::Instant now = base::Clock::now();
+  state_.cold_reported_at = now;
+  state_.cold_until = cold_until;
+  const bool is_cold = now < cold_until;
+  if (std::exchange(was_cold_reported_, is_cold) != is_cold)
+    changed_();
+}
+
+bool LocalServer::HandleDeregistration(const net::HttpRequest& request,
+                                       std::string_view instance) {
+  const auto started_at = ReadStartedAt(request.body);
+  if (!started_at) {
+    LogFault(instance, "born");
+    return false;
+  }
+  if (incarnations_.OnLeft(std::string(instance), *started_at))
+    Withdraw();
+  return true;
+}
+
+void LocalServer::Withdraw() {
+  presence_.OnLeft();
+  if (!std::exchange(state_.announced, false))
+    return;
+  LogEvent(Event::kServerWithdrawn, {{"service", state_.service}});
+  changed_();
+}
+
+void LocalServer::CheckPresence() {
+  if (state_.announced && !presence_.IsPresent(base::Clock::now()))
+    Withdraw();
+  timer_ = loop_.CallAfter(kPresenceCheckInterval, [this] { CheckPresence(); });
+}
+
+}  // namespace chestnutport::server
--- /dev/null
+++ b/src/libs/server/local_server.h
@@ -0,0 +1,105 @@
+// Receives the announcements, drain requests and deregistrations of the local
+// server, which is the server on the same VM as this node, and keeps its state.
+// Runs on the control thread.
+#ifndef SERVER_LOCAL_SERVER_H_
+#define SERVER_LOCAL_SERVER_H_
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <set>
+#include <string>
+#include <string_view>
+
+#include "admission/server_presence.h"
+#include "base/result.h"
+#include "net/event_loop.h"
+#include "net/http_server.h"
+#include "server/server_announcement.h"
+#include "server/server_incarnation_tracker.h"
+#include "server/server_state.h"
+
+namespace chestnutport::server {
+
+// Reason for which the server gets no new requests.
+enum class DrainSource {
+  kServer,    // Ended by the server or by its next incarnation.
+  kOperator,  // Ended by an operator.
+  kStop,      // The node is shutting down.
+  // The data centre is evacuated. The server may be cold afterwards.
+  kEvacuation,
+};
+
+class LocalServer {
+ public:
+  using ChangedHandler = std::function<void()>;
+  // Whether the configuration that this node holds declares the service.
+  using DeclaredPredicate = std::function<bool(const std::string& service)>;
+
+  // `loop` must outlive this object. `changed` is called after each change of
+  // state() that other components have to know.
+  LocalServer(net::EventLoop& loop,
+              DeclaredPredicate is_declared,
+              ChangedHandler changed);
+  ~LocalServer();
+
+  // Binds the listener for announcements, drain requests and deregistrations.
+  base::Result<bool> Listen(const base::SocketAddress& address);
+
+  // Stops new requests to the server until Undrain() was called for each source
+  // that drains it.
+  void Drain(DrainSource source);
+  void Undrain(DrainSource source);
+
+  // Applies an announcement built by service discovery, unless the server has
+  // already announced itself.
+  void OnDiscovered(const ServerAnnouncement& found);
+  // The server answered a request or a probe.
+  void OnAnswer(base::Instant now) { presence_.OnAnswer(now); }
+  // The gate reports until when the given incarnation (`life`) of the server is
+  // cold. Ignored if that incarnation is not the current one.
+  void OnColdReported(uint64_t life, base::Instant cold_until);
+
+  const ServerState& state() const { return state_; }
+  const base::SocketAddress& address() const { return listener_->address(); }
+
+ private:
+  void OnRequest(const net::HttpRequest& request, net::Reply reply);
+  // `instance` comes from the request's path; if it is empty, the body's
+  // instance is used. Returns false if the announcement is invalid.
+  bool HandleAnnouncement(const net::HttpRequest& request,
+                          std::string_view instance);
+  // Returns false if the announcement is stale: it belongs to an incarnation
+  // that has ended, or a later one was received before it.
+  bool Apply(const ServerAnnouncement& announcement);
+  void OnNewIncarnation(const ServerAnnouncement& announcement);
+  // Returns whether the end of the cold phase moved by more than the tolerance.
+  bool UpdateColdUntil(const ServerAnnouncement& announcement,
+                       base::Instant now);
+  // Returns the reason to reject the announcement, or an empty string if it is
+  // accepted.
+  std::string FindFault(const ServerAnnouncement& announcement) const;
+  // Returns false if the request body is invalid.
+  bool HandleDeregistration(const net::HttpRequest& request,
+                            std::string_view instance);
+  void LogFault(std::string_view instance, const std::string& fault);
+  void Withdraw();
+  void CheckPresence();
+  void UpdateDraining();
+
+  net::EventLoop& loop_;
+  DeclaredPredicate is_declared_;
+  ChangedHandler changed_;
+  ServerState state_;
+  bool was_cold_reported_ = false;  // As of the last report that was published.
+  ServerIncarnationTracker incarnations_;
+  std::string last_fault_;  // Repeated faults are logged once.
+  std::set<DrainSource> drain_sources_;
+  admission::ServerPresence presence_;
+  net::EventLoop::TimerId timer_ = 0;
+  std::unique_ptr<net::HttpServer> listener_;
+};
+
+}  // namespace chestnutport::server
+
+#endif  // SERVER_LOCAL_SERVER_H_
--- a/src/libs/server/own_server_protocol.cc
+++ b/src/libs/server/native_server_protocol.cc
@@ -1,4 +1,4 @@
-#include "server/own_server_protocol.h"
+#include "server/native_server_protocol.h"
 
 #include "base/encoding.h"
 #include "base/outcome.h"
@@ -9,39 +9,40 @@
 
 constexpr int kUnavailable = 503;
 
-// Headers between nodes that the server must not see.
+// Headers exchanged between nodes, which are removed before forwarding.
 constexpr const char* kPeerOnlyHeaders[] = {wire::kTargetHeader,
                                             wire::kSignatureHeader};
 
 }  // namespace
 
-void OwnServerProtocol::Prepare(net::HttpRequest& request,
-                                const ServerSend& send) const {
+void NativeServerProtocol::Prepare(net::HttpRequest& request,
+                                   const ForwardingInfo& info) const {
   for (const char* name : kPeerOnlyHeaders)
     net::RemoveHeader(request.headers, name);
   net::RemoveHeader(request.headers, wire::kDeadlineHeader);
   request.headers.push_back(
-      {wire::kDeadlineHeader, base::FormatDuration(send.remaining)});
+      {wire::kDeadlineHeader, base::FormatDuration(info.remaining)});
 }
 
-ServerVerdict OwnServerProtocol::Judge(const net::HttpAnswer& head) const {
+ServerVerdict NativeServerProtocol::ClassifyResponse(
+    const net::HttpAnswer& head) const {
   const bool is_shed = head.status == kUnavailable &&
                        net::FindHeader(head.headers, wire::kOutcomeHeader) ==
                            ToString(base::Outcome::kNotRun);
   return is_shed ? ServerVerdict::kShed : ServerVerdict::kAnswered;
 }
 
-std::optional<wire::ServerLoad> OwnServerProtocol::Load(
+std::optional<wire::ServerLoad> NativeServerProtocol::Load(
     const net::HttpHeaders& /*headers*/) const {
   return std::nullopt;
 }
 
-std::optional<base::Duration> OwnServerProtocol::ColdFor(
+std::optional<base::Duration> NativeServerProtocol::ColdFor(
     const net::HttpHeaders& headers) const {
   return base::ParseDuration(net::FindHeader(headers, wire::kColdForHeader));
 }
 
-std::string OwnServerProtocol::Instance(
+std::string NativeServerProtocol::Instance(
     const net::HttpHeaders& /*headers*/) const {
   return "";
 }
--- a/src/libs/server/server_announcement.cc
+++ b/src/libs/server/server_announcement.cc
@@ -10,18 +10,19 @@
 
 using nlohmann::json;
 
-// More than any server has; a larger figure is a fault of its writer.
-constexpr int64_t kMostSlots = 100000;
+// No server has that many slots; a larger number is an error of the sender.
+constexpr int64_t kMaxSlots = 100000;
 constexpr char kReady[] = "ready";
 constexpr char kDraining[] = "draining";
 constexpr char kStartedAt[] = "born";
 
-// Reads the members of an announcement, and remembers the first that is wrong.
-class Members {
+// Reads the fields of an announcement and records the name of the first invalid
+// one.
+class FieldReader {
  public:
-  explicit Members(const json& object) : object_(object) {}
+  explicit FieldReader(const json& object) : object_(object) {}
 
-  // Leaves the default if the member is missing.
+  // Leaves `value` unchanged if the field is missing.
   template <typename T>
   void Read(const char* name, T* value) {
     const auto found = object_.find(name);
@@ -43,13 +44,13 @@
 
  private:
   template <typename T>
-  static bool IsOf(const json& member) {
+  static bool IsOf(const json& field) {
     if constexpr (std::is_same_v<T, bool>)
-      return member.is_boolean();
+      return field.is_boolean();
     else if constexpr (std::is_integral_v<T>)
-      return member.is_number_integer();
+      return field.is_number_integer();
     else
-      return member.is_string();
+      return field.is_string();
   }
 
   void Reject(const char* name) {
@@ -61,36 +62,36 @@
   std::string fault_;
 };
 
-void ReadStart(Members& members, ServerAnnouncement& said) {
+void ReadStart(FieldReader& fields, ServerAnnouncement& announcement) {
   int64_t started_at = 0;
-  members.Read(kStartedAt, &started_at);
-  members.Require(kStartedAt, started_at >= 0);
-  said.started_at = std::chrono::milliseconds(started_at);
+  fields.Read(kStartedAt, &started_at);
+  fields.Require(kStartedAt, started_at >= 0);
+  announcement.started_at = std::chrono::milliseconds(started_at);
 }
 
-void ReadState(Members& members, ServerAnnouncement& said) {
+void ReadState(FieldReader& fields, ServerAnnouncement& announcement) {
   std::string state = kReady;
-  members.Read("state", &state);
-  members.Require("state", state == kReady || state == kDraining);
-  members.Read("draining", &said.draining);
-  said.draining = said.draining || state == kDraining;
+  fields.Read("state", &state);
+  fields.Require("state", state == kReady || state == kDraining);
+  fields.Read("draining", &announcement.draining);
+  announcement.draining = announcement.draining || state == kDraining;
 }
 
-void ReadAddress(Members& members, ServerAnnouncement& said) {
+void ReadAddress(FieldReader& fields, ServerAnnouncement& announcement) {
   std::string text;
-  members.Read("address", &text);
+  fields.Read("address", &text);
   const auto address = base::SocketAddress::Parse(text);
-  members.Require("address", address.has_value());
-  said.address = address.value_or(base::SocketAddress());
+  fields.Require("address", address.has_value());
+  announcement.address = address.value_or(base::SocketAddress());
 }
 
-void ReadColdFor(Members& members, ServerAnnouncement& said) {
+void ReadColdFor(FieldReader& fields, ServerAnnouncement& announcement) {
   std::string text;
-  members.Read("cold_for", &text);
+  fields.Read("cold_for", &text);
   if (text.empty())
     return;
-  said.cold_for = base::ParseDuration(text);
-  members.Require("cold_for", said.cold_for.has_value());
+  announcement.cold_for = base::ParseDuration(text);
+  fields.Require("cold_for", announcement.cold_for.has_value());
 }
 
 }  // namespace
@@ -100,27 +101,28 @@
     std::string* fault) {
   const json body = json::parse(text, nullptr, false);
   if (!body.is_object()) {
-    *fault = "no JSON object";
+    *fault = "not a JSON object";
     return std::nullopt;
   }
-  ServerAnnouncement said;
-  Members members(body);
-  members.Read("service", &said.service);
-  members.Require("service", !said.service.empty());
-  ReadAddress(members, said);
-  members.Read("slots", &said.slots);
-  members.Require("slots", said.slots >= 1 && said.slots <= kMostSlots);
-  members.Read("health", &said.health_path);
-  members.Read("instance", &said.instance);
-  ReadState(members, said);
-  members.Read("sequence", &said.sequence);
-  members.Require("sequence", said.sequence >= 0);
-  ReadColdFor(members, said);
-  ReadStart(members, said);
-  *fault = members.fault();
+  ServerAnnouncement announcement;
+  FieldReader fields(body);
+  fields.Read("service", &announcement.service);
+  fields.Require("service", !announcement.service.empty());
+  ReadAddress(fields, announcement);
+  fields.Read("slots", &announcement.slots);
+  fields.Require("slots",
+                 announcement.slots >= 1 && announcement.slots <= kMaxSlots);
+  fields.Read("health", &announcement.health_path);
+  fields.Read("instance", &announcement.instance);
+  ReadState(fields, announcement);
+  fields.Read("sequence", &announcement.sequence);
+  fields.Require("sequence", announcement.sequence >= 0);
+  ReadColdFor(fields, announcement);
+  ReadStart(fields, announcement);
+  *fault = fields.fault();
   if (!fault->empty())
     return std::nullopt;
-  return said;
+  return announcement;
 }
 
 std::optional<std::chrono::milliseconds> ReadStartedAt(std::string_view text) {
@@ -129,12 +131,12 @@
   const json body = json::parse(text, nullptr, false);
   if (!body.is_object())
     return std::nullopt;
-  ServerAnnouncement said;
-  Members members(body);
-  ReadStart(members, said);
-  if (!members.fault().empty())
+  ServerAnnouncement announcement;
+  FieldReader fields(body);
+  ReadStart(fields, announcement);
+  if (!fields.fault().empty())
     return std::nullopt;
-  return said.started_at;
+  return announcement.started_at;
 }
 
 }  // namespace chestnutport::server
--- a/src/libs/server/server_announcement.h
+++ b/src/libs/server/server_announcement.h
@@ -1,4 +1,4 @@
-// What a server tells its own node when it announces itself.
+// The announcement by which a server registers at its local node.
 #ifndef SERVER_SERVER_ANNOUNCEMENT_H_
 #define SERVER_SERVER_ANNOUNCEMENT_H_
 
@@ -16,24 +16,28 @@
   std::string service;
   base::SocketAddress address;
   int slots = 1;            // 1 to 100,000.
-  std::string health_path;  // Optional; empty: it is not probed.
-  std::string instance;     // Optional; names the server's start.
-  // When the server started, by the time of day; zero: not told. Tells starts
-  // of one instance apart.
+  std::string health_path;  // Optional; not probed if empty.
+  std::string instance;     // Optional; identifies the incarnation.
+  // Wall-clock start time, in milliseconds since the epoch; zero if unknown.
+  // Distinguishes incarnations that have the same instance name. The JSON name
+  // is "born".
   std::chrono::milliseconds started_at{};
   bool draining = false;
-  // Counts up with each announcement of a start; zero: it is not counted.
+  // Increases with each announcement of an incarnation; zero if the server does
+  // not number its announcements.
   int64_t sequence = 0;
-  // For so long its work takes longer than usual; nothing: not told.
+  // Remaining time during which requests take longer than usual; unset if the
+  // server did not report it.
   std::optional<base::Duration> cold_for;
 
-  // Nothing if a part is missing or of the wrong kind; `fault` says which.
+  // Returns nothing if a required field is missing or a field is invalid;
+  // `fault` is then set to the name of the first such field.
   static std::optional<ServerAnnouncement> FromJson(std::string_view text,
                                                     std::string* fault);
 };
 
-// The time of start in what a server says as it leaves, which may be empty;
-// zero: not told. Nothing if it cannot be read.
+// Parses the start time in the body of a deregistration. Returns zero if the
+// body is empty or has no start time, and nothing if it is invalid.
 std::optional<std::chrono::milliseconds> ReadStartedAt(std::string_view text);
 
 }  // namespace chestnutport::server
--- /dev/null
+++ b/src/libs/server/server_incarnation_tracker.cc
@@ -0,0 +1,104 @@
+#include "server/server_incarnation_tracker.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace chestnutport::server {
+namespace {
+
+using std::chrono::milliseconds;
+
+// Ended incarnations of which stale messages may still arrive. Messages are
+// delayed by seconds at most, and a server restarts at most once a second.
+constexpr size_t kMaxPastIncarnations = 16;
+constexpr milliseconds kUnknownStartTime(0);
+
+}  // namespace
+
+ServerIncarnationTracker::Verdict ServerIncarnationTracker::OnAnnounced(
+    const ServerAnnouncement& announcement,
+    bool is_overdue) {
+  const bool is_current = current_ && Matches(*current_, announcement.instance,
+                                              announcement.started_at);
+  if (is_current)
+    return ClassifyCurrent(announcement, is_overdue);
+  if (!MayReplace(announcement, is_overdue))
+    return Verdict::kStale;
+  if (current_)
+    AddPast(*std::exchange(current_, std::nullopt));
+  std::erase_if(past_, [&](const Incarnation& past) {
+    return Matches(past, announcement.instance, announcement.started_at);
+  });
+  current_ = Incarnation{announcement.instance, announcement.started_at,
+                         announcement.sequence};
+  return Verdict::kNewIncarnation;
+}
+
+bool ServerIncarnationTracker::OnLeft(const std::string& instance,
+                                      milliseconds started_at) {
+  const bool is_current =
+      instance.empty() ||
+      (current_ && Matches(*current_, instance, started_at));
+  Incarnation left =
+      is_current && current_ ? *current_ : Incarnation{instance, started_at};
+  left.has_left = true;
+  if (is_current)
+    current_.reset();
+  if (!left.instance.empty())
+    AddPast(std::move(left));
+  return is_current;
+}
+
+// Start times are compared only if both are known.
+bool ServerIncarnationTracker::Matches(const Incarnation& known,
+                                       const std::string& instance,
+                                       milliseconds started_at) {
+  const bool are_both_known =
+      known.started_at != kUnknownStartTime && started_at != kUnknownStartTime;
+  return known.instance == instance &&
+         (!are_both_known || known.started_at == started_at);
+}
+
+ServerIncarnationTracker::Verdict ServerIncarnationTracker::ClassifyCurrent(
+    const ServerAnnouncement& announcement,
+    bool is_overdue) {
+  // A server sends its start time in all announcements or in none, so that one
+  // without it comes from another sender.
+  const bool is_from_other_server =
+      current_->started_at != kUnknownStartTime &&
+      announcement.started_at == kUnknownStartTime;
+  const bool is_older = announcement.sequence > 0 &&
+                        announcement.sequence <= current_->sequence &&
+                        !is_overdue;
+  if (!announcement.instance.empty() && (is_from_other_server || is_older))
+    return Verdict::kStale;
+  current_->started_at = announcement.started_at;
+  current_->sequence = announcement.sequence;
+  return Verdict::kCurrentIncarnation;
+}
+
+bool ServerIncarnationTracker::MayReplace(
+    const ServerAnnouncement& announcement,
+    bool is_overdue) const {
+  const auto known = std::ranges::find_if(past_, [&](const Incarnation& past) {
+    return Matches(past, announcement.instance, announcement.started_at);
+  });
+  const bool is_known = known != past_.end() && !announcement.instance.empty();
+  if (is_known && known->has_left)
+    return false;
+  const bool same_instance =
+      current_ && current_->instance == announcement.instance;
+  if (is_known)
+    return same_instance && is_overdue &&
+           announcement.sequence > known->sequence;
+  return !same_instance || is_overdue ||
+         announcement.started_at > current_->started_at;
+}
+
+void ServerIncarnationTracker::AddPast(Incarnation past) {
+  past_.push_back(std::move(past));
+  if (past_.size() > kMaxPastIncarnations)
+    past_.pop_front();
+}
+
+}  // namespace chestnutport::server
--- /dev/null
+++ b/src/libs/server/server_incarnation_tracker.h
@@ -0,0 +1,63 @@
+// Distinguishes the incarnations of the local server, and detects stale
+// messages of those that have ended. Reads no clock.
+//
+// An incarnation is one run of the server process. It is identified by the
+// instance name and, if the server restarts under the same name, by the start
+// time. State is kept separately for each incarnation.
+#ifndef SERVER_SERVER_INCARNATION_TRACKER_H_
+#define SERVER_SERVER_INCARNATION_TRACKER_H_
+
+#include <chrono>
+#include <deque>
+#include <optional>
+#include <string>
+
+#include "server/server_announcement.h"
+
+namespace chestnutport::server {
+
+class ServerIncarnationTracker {
+ public:
+  enum class Verdict {
+    kNewIncarnation,      // Of a new incarnation, which is now the current one.
+    kCurrentIncarnation,  // Of the current incarnation.
+    kStale,               // Of an ended incarnation, or out of order.
+  };
+
+  // `is_overdue` says that the current incarnation's announcement is overdue,
+  // or that there is no current incarnation. Only then may an incarnation with
+  // an earlier start time replace it: the wall clock may have been set back
+  // before the server restarted.
+  Verdict OnAnnounced(const ServerAnnouncement& announcement, bool is_overdue);
+
+  // An incarnation was deregistered. `started_at` is zero if unknown; an empty
+  // `instance` means the current incarnation. Returns whether the deregistered
+  // incarnation was the current one.
+  bool OnLeft(const std::string& instance,
+              std::chrono::milliseconds started_at);
+
+ private:
+  struct Incarnation {
+    std::string instance;
+    std::chrono::milliseconds started_at{};  // Zero if unknown.
+    int64_t sequence = 0;                    // Of the last announcement.
+    bool has_left = false;
+  };
+
+  static bool Matches(const Incarnation& known,
+                      const std::string& instance,
+                      std::chrono::milliseconds started_at);
+  Verdict ClassifyCurrent(const ServerAnnouncement& announcement,
+                          bool is_overdue);
+  // Whether the announcing incarnation may replace the current one.
+  bool MayReplace(const ServerAnnouncement& announcement,
+                  bool is_overdue) const;
+  void AddPast(Incarnation past);
+
+  std::optional<Incarnation> current_;
+  std::deque<Incarnation> past_;
+};
+
+}  // namespace chestnutport::server
+
+#endif  // SERVER_SERVER_INCARNATION_TRACKER_H_
--- a/src/libs/server/server_observer.cc
+++ b/src/libs/server/server_observer.cc
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr int kServerError = 500;
-// Between two probes that ask a server whether it is still there: one that
-// breaks off everything it gets costs four a second.
-constexpr std::chrono::milliseconds kAskInterval(250);
+// Minimum time between two probes that check for a crash. A server that
+// interrupts every request is probed at most four times a second.
+constexpr std::chrono::milliseconds kDoubtProbeInterval(250);
 
 }  // namespace
 
@@ -19,10 +19,12 @@
                                Outputs outputs)
     : protocol_(std::move(protocol)),
       outputs_(std::move(outputs)),
-      prober_(loop,
-              outputs_.probed,
-              [this](const net::TransferResult& result,
-                     const ProbeStart& probe) { OnProbed(result, probe); }) {}
+      prober_(
+          loop,
+          outputs_.probe_sent,
+          [this](const net::TransferResult& result, const ProbeStart& probe) {
+            OnProbeResult(result, probe);
+          }) {}
 
 void ServerObserver::SetServer(const ServerState& server, bool has_started) {
   instance_ = server.instance;
@@ -37,20 +39,20 @@
 
 void ServerObserver::Tick(base::Instant now) {
   prober_.Tick(now);
-  AskIfInDoubt(now);
+  ProbeIfInDoubt(now);
 }
 
-void ServerObserver::AskIfInDoubt(base::Instant now) {
-  const bool is_due = end_watch_.IsInDoubt() && now >= ask_again_at_;
-  if (is_due && prober_.Ask(now))
-    ask_again_at_ = now + kAskInterval;
+void ServerObserver::ProbeIfInDoubt(base::Instant now) {
+  const bool is_due = end_watch_.IsInDoubt() && now >= next_doubt_probe_at_;
+  if (is_due && prober_.ProbeNow(now))
+    next_doubt_probe_at_ = now + kDoubtProbeInterval;
 }
 
-void ServerObserver::OnRequestEnd(const RequestEnd& request,
-                                  const net::HttpAnswer& answer,
-                                  base::Instant now) {
-  const bool is_whole = request.end == net::TransferEnd::kComplete;
-  if (is_whole && request.verdict == ServerVerdict::kOtherInstance) {
+void ServerObserver::OnRequestResult(const RequestResult& request,
+                                     const net::HttpAnswer& answer,
+                                     base::Instant now) {
+  const bool is_complete = request.end == net::TransferEnd::kComplete;
+  if (is_complete && request.verdict == ServerVerdict::kOtherInstance) {
     telemetry::LogEvent(telemetry::Event::kServerReplaced,
                         {{"expected", instance_},
                          {"meant_for", request.instance},
@@ -65,58 +67,60 @@
                          .started_at = request.started_at,
                          .broken_at = now});
   }
-  // An end that comes after the next life has announced itself says nothing of
-  // that one, which would stand idle for a refusal that was not its own.
+  // A result that arrives after a new incarnation has announced itself must not
+  // count for that one: the new server would stay idle because of a connection
+  // that its predecessor refused.
   if (request.life == life_)
-    JudgeEnd(request, answer, now);
-  AskIfInDoubt(now);
+    OnCurrentRequestResult(request, answer, now);
+  ProbeIfInDoubt(now);
 }
 
-void ServerObserver::JudgeEnd(const RequestEnd& request,
-                              const net::HttpAnswer& answer,
-                              base::Instant now) {
-  const bool is_whole = request.end == net::TransferEnd::kComplete;
-  if (is_whole) {
+void ServerObserver::OnCurrentRequestResult(const RequestResult& request,
+                                            const net::HttpAnswer& answer,
+                                            base::Instant now) {
+  const bool is_complete = request.end == net::TransferEnd::kComplete;
+  if (is_complete) {
     prober_.OnAnswer(now);
-    NoteState(answer.headers, now);
+    UpdateFromHeaders(answer.headers, now);
   }
   if (request.is_refused)
     end_watch_.OnRefused(now);
-  if (is_whole && request.verdict == ServerVerdict::kOtherInstance) {
+  if (is_complete && request.verdict == ServerVerdict::kOtherInstance) {
     is_replaced_ = true;
     return;
   }
-  if (is_whole)
+  if (is_complete)
     end_watch_.OnAnswer(request.started_at);
   const bool is_answered =
-      is_whole && request.verdict == ServerVerdict::kAnswered;
-  // Failed by another service, which any server of this one would be.
+      is_complete && request.verdict == ServerVerdict::kAnswered;
+  // The failure was caused by another service and would occur on any server of
+  // this service.
   if (is_answered && request.has_failed_call)
     return;
   pace_.OnResult(is_answered && answer.status < kServerError, now);
 }
 
-void ServerObserver::OnProbed(const net::TransferResult& result,
-                              const ProbeStart& probe) {
+void ServerObserver::OnProbeResult(const net::TransferResult& result,
+                                   const ProbeStart& probe) {
   if (probe.life == life_)
-    JudgeProbe(result, probe.begun, base::Clock::now());
-  outputs_.looked();
+    OnCurrentProbeResult(result, probe.started_at, base::Clock::now());
+  outputs_.probe_ended();
 }
 
-void ServerObserver::JudgeProbe(const net::TransferResult& result,
-                                base::Instant begun,
-                                base::Instant now) {
+void ServerObserver::OnCurrentProbeResult(const net::TransferResult& result,
+                                          base::Instant started_at,
+                                          base::Instant now) {
   const std::string found = protocol_.instance(result.answer.headers);
   const bool is_own = found.empty() || instance_.empty() || found == instance_;
   if (result.end == net::TransferEnd::kComplete && is_own)
-    end_watch_.OnAnswer(begun);
+    end_watch_.OnAnswer(started_at);
   if (result.is_refused)
     end_watch_.OnRefused(now);
   if (result.end == net::TransferEnd::kComplete) {
-    NoteState(result.answer.headers, now);
+    UpdateFromHeaders(result.answer.headers, now);
     const auto& headers = result.answer.headers;
-    if (is_own && protocol_.tells_when_cold && !protocol_.cold_for(headers))
-      outputs_.found_no_cold();
+    if (is_own && protocol_.reports_cold_state && !protocol_.cold_for(headers))
+      outputs_.warm_reported();
   } else if (result.end == net::TransferEnd::kTimedOut) {
     pace_.OnSilentProbe(now);
   } else {
@@ -124,12 +128,12 @@
   }
 }
 
-void ServerObserver::NoteState(const net::HttpHeaders& headers,
-                               base::Instant now) {
+void ServerObserver::UpdateFromHeaders(const net::HttpHeaders& headers,
+                                       base::Instant now) {
   if (const auto load = protocol_.load(headers))
     pace_.OnSlowness(load->slowness, now);
   if (const auto remaining = protocol_.cold_for(headers))
-    outputs_.told_cold(*remaining);
+    outputs_.cold_reported(*remaining);
 }
 
 }  // namespace chestnutport::server
--- a/src/libs/server/server_observer.h
+++ b/src/libs/server/server_observer.h
@@ -1,6 +1,6 @@
-// What a gate knows of its own server, from each answer and from probes: its
-// pace, whether another server has taken its address, and whether it ended with
-// requests that it ran. Runs on the gate thread.
+// Monitors the local server by its responses and by probes: its performance,
+// whether another server has taken over its address, and whether it crashed
+// while it ran requests. Runs on the gate thread.
 #ifndef SERVER_SERVER_OBSERVER_H_
 #define SERVER_SERVER_OBSERVER_H_
 
@@ -21,30 +21,30 @@
 namespace chestnutport::server {
 
 // How a request to the server ended.
-struct RequestEnd {
+struct RequestResult {
   net::TransferEnd end = net::TransferEnd::kLost;
   ServerVerdict verdict = ServerVerdict::kUnusable;
-  // A call failed that the server made for it.
+  // A call that the server made to handle the request has failed.
   bool has_failed_call = false;
-  bool is_refused = false;  // Nobody listens at the server's address.
-  uint64_t life = 0;        // Of the server, when the request was sent to it.
+  bool is_refused = false;  // The connection was refused.
+  uint64_t life = 0;        // Server incarnation when the request was sent.
   base::RequestFingerprint fingerprint;
-  bool is_suspect = false;  // By the word of the node that sent it.
-  // The server was cold, and had got more than it tolerates.
+  bool is_suspect = false;  // According to the node that sent it.
+  // The server was cold and had received requests above its cold rate.
   bool is_over_cold_rate = false;
   base::Instant started_at;
-  std::string instance;  // The start of the server that was meant.
+  std::string instance;  // Expected server incarnation.
 };
 
 class ServerObserver {
  public:
   struct Outputs {
-    std::function<void()> looked;  // A look has ended.
-    std::function<void()> probed;  // A probe was sent to the server.
-    // The server said how much longer it stays cold.
-    std::function<void(base::Duration)> told_cold;
-    // A health check found no sign that it is cold.
-    std::function<void()> found_no_cold;
+    std::function<void()> probe_ended;
+    std::function<void()> probe_sent;  // A probe is about to be sent.
+    // The server reported its remaining cold time.
+    std::function<void(base::Duration)> cold_reported;
+    // A health response reported no cold state.
+    std::function<void()> warm_reported;
   };
 
   // `loop` must outlive this object.
@@ -52,47 +52,52 @@
                  AnyServerProtocol protocol,
                  Outputs outputs);
 
-  // `has_started`: another life of the server begins.
+  // Takes over the server's state. `has_started` says that it is a new
+  // incarnation.
   void SetServer(const ServerState& server, bool has_started);
   // A request to the server has ended.
-  void OnRequestEnd(const RequestEnd& request,
-                    const net::HttpAnswer& answer,
-                    base::Instant now);
-  // Asks the server how it is if its last word is too old to start a request
-  // by. Returns whether an answer, or the end of the wait for it, is to come.
-  bool Look(base::Instant now) { return prober_.Look(now); }
-  // Call about each 10 ms.
+  void OnRequestResult(const RequestResult& request,
+                       const net::HttpAnswer& answer,
+                       base::Instant now);
+  // Starts a probe if the last response is too old to start a request on.
+  // Returns whether a probe is running, whose end is signalled by
+  // `probe_ended`.
+  bool ProbeIfStale(base::Instant now) { return prober_.ProbeIfStale(now); }
+  // Call about every 10 ms.
   void Tick(base::Instant now);
-  // What the server ran when it ended, once for each end.
-  std::optional<std::vector<admission::BrokenRequest>> TakeEnd(
+  // Returns the requests that the server ran when it crashed, once for each
+  // crash.
+  std::optional<std::vector<admission::BrokenRequest>> TakeCrash(
       base::Instant now) {
-    return end_watch_.TakeEnd(now);
+    return end_watch_.TakeCrash(now);
   }
 
   const admission::ServerPace& pace() const { return pace_; }
-  // Another server answered at the address what was meant for the present one:
-  // nothing is sent there until that one announces itself.
+  // Another instance responded to a request meant for this one. Nothing is sent
+  // to the address until that instance announces itself.
   bool is_replaced() const { return is_replaced_; }
-  // Of a request or a probe.
+  // Time of the last response to a request or a probe.
   base::Instant last_answer() const { return prober_.last_answer(); }
   const admission::ProbeScheduler& probes() const {
     return prober_.scheduler();
   }
 
  private:
-  void OnProbed(const net::TransferResult& result, const ProbeStart& probe);
-  // What a probe of the present life says of it.
-  void JudgeProbe(const net::TransferResult& result,
-                  base::Instant begun,
-                  base::Instant now);
-  // What the end of a request to the present life says of it.
-  void JudgeEnd(const RequestEnd& request,
-                const net::HttpAnswer& answer,
-                base::Instant now);
-  // Finds out whether the server is still there if it broke something off.
-  void AskIfInDoubt(base::Instant now);
-  // Takes note of what the server says of itself with an answer.
-  void NoteState(const net::HttpHeaders& headers, base::Instant now);
+  void OnProbeResult(const net::TransferResult& result,
+                     const ProbeStart& probe);
+  // Evaluates the result of a probe of the current incarnation.
+  void OnCurrentProbeResult(const net::TransferResult& result,
+                            base::Instant started_at,
+                            base::Instant now);
+  // Evaluates the result of a request to the current incarnation.
+  void OnCurrentRequestResult(const RequestResult& request,
+                              const net::HttpAnswer& answer,
+                              base::Instant now);
+  // Starts a probe if interrupted requests leave it open whether the server has
+  // crashed.
+  void ProbeIfInDoubt(base::Instant now);
+  // Evaluates the load and cold state that a response reports.
+  void UpdateFromHeaders(const net::HttpHeaders& headers, base::Instant now);
 
   AnyServerProtocol protocol_;
   Outputs outputs_;
@@ -100,7 +105,7 @@
   uint64_t life_ = 0;
   admission::ServerPace pace_;
   admission::ServerEndWatch end_watch_;
-  base::Instant ask_again_at_;
+  base::Instant next_doubt_probe_at_;
   bool is_replaced_ = false;
   ServerProber prober_;
 };
--- a/src/libs/server/server_prober.cc
+++ b/src/libs/server/server_prober.cc
@@ -8,17 +8,17 @@
 namespace chestnutport::server {
 namespace {
 
-// What the end of a probe may be late by.
-constexpr std::chrono::milliseconds kMargin(2);
+// Subtracted from the time allowed for a probe, as timeouts may fire late.
+constexpr std::chrono::milliseconds kTimeoutMargin(2);
 
 }  // namespace
 
 ServerProber::ServerProber(net::EventLoop& loop,
-                           std::function<void()> sent,
+                           std::function<void()> probe_sent,
                            Handler handler)
     : client_(loop, net::HttpClientOptions{}),
       scheduler_(admission::ProbeOptions{}, base::Clock::now()),
-      sent_(std::move(sent)),
+      probe_sent_(std::move(probe_sent)),
       handler_(std::move(handler)) {}
 
 void ServerProber::SetServer(const ServerState& server) {
@@ -33,46 +33,46 @@
   scheduler_.OnAnswer(now);
 }
 
-bool ServerProber::Look(base::Instant now) {
+bool ServerProber::ProbeIfStale(base::Instant now) {
   if (path_.empty() || !scheduler_.IsStale(now))
     return false;
-  return scheduler_.IsRunning() || Ask(now);
+  return scheduler_.IsRunning() || ProbeNow(now);
 }
 
-bool ServerProber::Ask(base::Instant now) {
+bool ServerProber::ProbeNow(base::Instant now) {
   if (path_.empty())
     return false;
-  const auto allowed = scheduler_.BeginLook(now);
-  if (!allowed)
+  const auto max_duration = scheduler_.BeginLook(now);
+  if (!max_duration)
     return false;
-  Probe(*allowed, now);
+  SendProbe(*max_duration, now);
   return true;
 }
 
 void ServerProber::Tick(base::Instant now) {
   if (path_.empty())
     return;
-  if (const auto allowed = scheduler_.Begin(now))
-    Probe(*allowed, now);
+  if (const auto max_duration = scheduler_.Begin(now))
+    SendProbe(*max_duration, now);
 }
 
-void ServerProber::Probe(base::Duration allowed, base::Instant now) {
-  const base::Duration timeout = allowed - kMargin;
+void ServerProber::SendProbe(base::Duration max_duration, base::Instant now) {
+  const base::Duration timeout = max_duration - kTimeoutMargin;
   net::HttpRequest request{.method = "GET", .target = path_};
   request.headers.push_back(
       {wire::kDeadlineHeader, base::FormatDuration(timeout)});
-  sent_();
-  client_.Send(address_, std::move(request), timeout,
-               [this, probe = ProbeStart{now, life_}](
-                   const net::TransferResult& result) {
-                 const base::Instant end = base::Clock::now();
-                 const bool answered =
-                     result.end == net::TransferEnd::kComplete;
-                 scheduler_.End(end - probe.begun, answered, end);
-                 if (answered)
-                   last_answer_ = end;
-                 handler_(result, probe);
-               });
+  probe_sent_();
+  client_.Send(
+      address_, std::move(request), timeout,
+      [this,
+       probe = ProbeStart{now, life_}](const net::TransferResult& result) {
+        const base::Instant ended_at = base::Clock::now();
+        const bool answered = result.end == net::TransferEnd::kComplete;
+        scheduler_.End(ended_at - probe.started_at, answered, ended_at);
+        if (answered)
+          last_answer_ = ended_at;
+        handler_(result, probe);
+      });
 }
 
 }  // namespace chestnutport::server
--- a/src/libs/server/server_prober.h
+++ b/src/libs/server/server_prober.h
@@ -1,5 +1,5 @@
-// Probes this node's own server when traffic tells too little of it, within
-// its budget. Runs on the gate thread.
+// Sends health probes to the local server, within the probe budget, when its
+// responses to requests give too little information. Runs on the gate thread.
 #ifndef SERVER_SERVER_PROBER_H_
 #define SERVER_SERVER_PROBER_H_
 
@@ -13,51 +13,52 @@
 
 namespace chestnutport::server {
 
-// When a probe was begun, and which life of the server it was meant for.
+// When a probe was started, and for which incarnation of the server.
 struct ProbeStart {
-  base::Instant begun;
+  base::Instant started_at;
   uint64_t life = 0;
 };
 
 class ServerProber {
  public:
-  // What a probe brought; no answer: the server was silent for the time that a
-  // probe has.
+  // Called with the result of each probe. A probe without a response has timed
+  // out.
   using Handler =
       std::function<void(const net::TransferResult&, const ProbeStart&)>;
 
-  // `loop` must outlive this object. `sent` is called with each probe.
+  // `loop` must outlive this object. `probe_sent` is called for each
+  // probe, before it is sent.
   ServerProber(net::EventLoop& loop,
-               std::function<void()> sent,
+               std::function<void()> probe_sent,
                Handler handler);
 
   void SetServer(const ServerState& server);
   // The server answered a request.
   void OnAnswer(base::Instant now);
-  // Probes if the server's last word is too old to start a request by. Returns
-  // whether the end of a probe is to come.
-  bool Look(base::Instant now);
-  // Probes at once, as something was seen that only a probe explains. Returns
-  // whether it did: not if one is running, or the budget is used up.
-  bool Ask(base::Instant now);
-  // Probes if it is time to. Call about each 10 ms.
+  // Starts a probe if the last response is too old to start a request on.
+  // Returns whether a probe is running.
+  bool ProbeIfStale(base::Instant now);
+  // Starts a probe regardless of when one is due. Returns false if the server
+  // has no health path, a probe is running or the budget is used up.
+  bool ProbeNow(base::Instant now);
+  // Starts a probe if one is due. Call about every 10 ms.
   void Tick(base::Instant now);
 
-  // Of a request or a probe.
+  // Time of the last response to a request or a probe.
   base::Instant last_answer() const { return last_answer_; }
   const admission::ProbeScheduler& scheduler() const { return scheduler_; }
 
  private:
-  // Ends within `allowed`.
-  void Probe(base::Duration allowed, base::Instant now);
+  // Sends a probe that ends within `max_duration`.
+  void SendProbe(base::Duration max_duration, base::Instant now);
 
   net::HttpClient client_;
   admission::ProbeScheduler scheduler_;
   base::SocketAddress address_;
   std::string path_;
-  uint64_t life_ = 0;  // Of the server.
+  uint64_t life_ = 0;  // Of the server to probe.
   base::Instant last_answer_;
-  std::function<void()> sent_;
+  std::function<void()> probe_sent_;
   Handler handler_;
 };
 
--- a/src/libs/server/server_protocol.h
+++ b/src/libs/server/server_protocol.h
@@ -1,5 +1,5 @@
-// How a gate and its server speak: what a request to a server is given, and
-// what an answer of its says.
+// Interface of the protocols between a gate and its server: how requests are
+// prepared and how responses are interpreted.
 #ifndef SERVER_SERVER_PROTOCOL_H_
 #define SERVER_SERVER_PROTOCOL_H_
 
@@ -14,82 +14,90 @@
 
 namespace chestnutport::server {
 
-// What a gate adds to a request that it hands to its server.
-struct ServerSend {
-  base::Duration remaining{};  // Until the caller's deadline.
-  std::string instance;        // The start of the server that is meant.
+// What a gate adds to a request that it forwards to its server.
+struct ForwardingInfo {
+  base::Duration remaining{};  // Time until the caller's deadline.
+  std::string instance;        // Expected server incarnation.
 };
 
 enum class ServerVerdict {
-  kAnswered,       // The server's own answer, whatever its status.
-  kShed,           // The server did not run the request and will not.
-  kOtherInstance,  // The same, as it is not the server that is meant.
-  kUnusable,       // No answer that may be handed on; it may have run.
+  kAnswered,       // A response of the server, whatever its status.
+  kShed,           // The server did not and will not run the request.
+  kOtherInstance,  // As kShed: another instance was expected.
+  kUnusable,       // Must not be forwarded; the request may have run.
 };
 
 template <typename Protocol>
 concept ServerProtocol = requires(const Protocol& protocol,
                                   net::HttpRequest& request,
-                                  const ServerSend& send,
+                                  const ForwardingInfo& info,
                                   const net::HttpAnswer& head) {
-  // Takes out what only nodes may see, and adds what the server expects.
-  { protocol.Prepare(request, send) } -> std::same_as<void>;
-  // By the head of an answer.
-  { protocol.Judge(head) } -> std::same_as<ServerVerdict>;
-  // If the answer carries one.
+  // Removes headers meant for nodes only and adds those the server expects.
+  { protocol.Prepare(request, info) } -> std::same_as<void>;
+  // Classifies a response by its status and headers.
+  { protocol.ClassifyResponse(head) } -> std::same_as<ServerVerdict>;
+  // Returns the load that the response reports, if any.
   {
     protocol.Load(head.headers)
     } -> std::same_as<std::optional<wire::ServerLoad>>;
-  // How much longer the server stays cold, if the answer says so.
+  // Returns the remaining cold time that the response reports, if any.
   {
     protocol.ColdFor(head.headers)
     } -> std::same_as<std::optional<base::Duration>>;
-  // Whether each health answer of a cold server says so.
-  { protocol.TellsWhenCold() } -> std::same_as<bool>;
-  // The start of the server that answered; empty: it does not say.
+  // Whether a cold server reports its remaining cold time in every health
+  // response, so that its absence means that the server is warm.
+  { protocol.ReportsColdState() } -> std::same_as<bool>;
+  // Returns the instance that responded, or an empty string if the response
+  // does not name it.
   { protocol.Instance(head.headers) } -> std::same_as<std::string>;
-  // A header that servers echo from the request; empty: there is none.
+  // Name of a request header that servers echo in the response; empty if there
+  // is none.
   { protocol.AnswerTag() } -> std::same_as<std::string>;
 };
 
-// Any ServerProtocol, by value.
+// Type-erased ServerProtocol.
 struct AnyServerProtocol {
   template <ServerProtocol Protocol>
   static AnyServerProtocol Of(const Protocol& protocol) {
-    return {
-        .prepare = [protocol](
-                       auto& request,
-                       const auto& send) { protocol.Prepare(request, send); },
-        .judge = [protocol](const auto& head) { return protocol.Judge(head); },
-        .load =
-            [protocol](const auto& headers) { return protocol.Load(headers); },
-        .cold_for =
-            [protocol](const auto& headers) {
-              return protocol.ColdFor(headers);
-            },
-        .instance =
-            [protocol](const auto& headers) {
-              return protocol.Instance(headers);
-            },
-        .answer_tag = protocol.AnswerTag(),
-        .tells_when_cold = protocol.TellsWhenCold()};
+    return {.prepare =
+                [protocol](auto& request, const auto& info) {
+                  protocol.Prepare(request, info);
+                },
+            .classify_response =
+                [protocol](const auto& head) {
+                  return protocol.ClassifyResponse(head);
+                },
+            .load = [protocol](
+                        const auto& headers) { return protocol.Load(headers); },
+            .cold_for =
+                [protocol](const auto& headers) {
+                  return protocol.ColdFor(headers);
+                },
+            .instance =
+                [protocol](const auto& headers) {
+                  return protocol.Instance(headers);
+                },
+            .answer_tag = protocol.AnswerTag(),
+            .reports_cold_state = protocol.ReportsColdState()};
   }
 
-  std::function<void(net::HttpRequest&, const ServerSend&)> prepare;
-  std::function<ServerVerdict(const net::HttpAnswer&)> judge;
+  std::function<void(net::HttpRequest&, const ForwardingInfo&)> prepare;
+  std::function<ServerVerdict(const net::HttpAnswer&)> classify_response;
   std::function<std::optional<wire::ServerLoad>(const net::HttpHeaders&)> load;
   std::function<std::optional<base::Duration>(const net::HttpHeaders&)>
       cold_for;
   std::function<std::string(const net::HttpHeaders&)> instance;
   std::string answer_tag;
-  bool tells_when_cold = false;
+  bool reports_cold_state = false;
 
-  // What a health answer says of how long the server stays cold; nothing: it
-  // says nothing.
-  std::optional<base::Duration> ColdByHealth(
+  // Returns the remaining cold time according to a health response. Zero if the
+  // protocol always reports the cold state and this response does not, nothing
+  // if the response leaves it open.
+  std::optional<base::Duration> ColdForFromHealthCheck(
       const net::HttpHeaders& headers) const {
-    const auto told = cold_for(headers);
-    return told || !tells_when_cold ? told : base::Duration();
+    const auto cold_duration = cold_for(headers);
+    return cold_duration || !reports_cold_state ? cold_duration
+                                                : base::Duration();
   }
 };
 
--- a/src/libs/server/server_state.h
+++ b/src/libs/server/server_state.h
@@ -1,4 +1,4 @@
-// What the control thread tells the gate thread about this node's own server.
+// State of the local server, which the control thread sends to the gate thread.
 #ifndef SERVER_SERVER_STATE_H_
 #define SERVER_SERVER_STATE_H_
 
@@ -16,19 +16,19 @@
   bool announced = false;
   std::string service;
   base::SocketAddress address;
-  uint64_t life = 0;        // Counts up with each start of the server.
-  std::string instance;     // Names the start, if the server says so.
-  std::string health_path;  // To probe; empty: the server is not probed.
+  uint64_t life = 0;        // Incremented with each new incarnation.
+  std::string instance;     // Instance name, if the server sends one.
+  std::string health_path;  // Not probed if empty.
   admission::AdmissionOptions admission;
   admission::ProbeOptions probes;
   bool draining = false;
-  // Counts up with each evacuation of the data centre that has ended.
+  // Number of evacuations of the data centre that have ended.
   uint64_t evacuations = 0;
-  // Until when the server is cold, and when it, or its gate, said so.
+  // End of the cold phase, and when the server or the gate reported it.
   base::Instant cold_until;
-  base::Instant cold_told_at;
+  base::Instant cold_reported_at;
 
-  bool TakesWork() const { return announced && !draining; }
+  bool AcceptsRequests() const { return announced && !draining; }
 };
 
 }  // namespace chestnutport::server
--- a/tests/auto/admission/gate_quarantine_test.cc
+++ b/tests/auto/admission/gate_quarantine_test.cc
@@ -86,7 +86,7 @@
   SECTION(
       "as it turned cold meanwhile: that explains it, no request is blamed") {
     const base::Instant now = base::Clock::now();
-    scene.state.cold_told_at = now;
+    scene.state.cold_reported_at = now;
     scene.state.cold_until = now + minutes(1);
     scene.Apply();
     end();
--- a/tests/auto/admission/server_end_watch_test.cc
+++ b/tests/auto/admission/server_end_watch_test.cc
@@ -26,15 +26,15 @@
   ServerEndWatch watch;
   watch.OnBroken(Broken(1, kStart));
   CHECK(watch.IsInDoubt());
-  CHECK_FALSE(watch.TakeEnd(kStart + seconds(1)));
+  CHECK_FALSE(watch.TakeCrash(kStart + seconds(1)));
 
   SECTION("and nobody listens at its address after that: it has ended") {
     watch.OnRefused(kStart + milliseconds(1));
     CHECK_FALSE(watch.IsInDoubt());
     SECTION("with all that is found broken a moment later") {
       watch.OnBroken(Broken(2, kStart + milliseconds(2)));
-      CHECK_FALSE(watch.TakeEnd(kStart + milliseconds(3)));
-      const auto ran = watch.TakeEnd(kStart + milliseconds(6));
+      CHECK_FALSE(watch.TakeCrash(kStart + milliseconds(3)));
+      const auto ran = watch.TakeCrash(kStart + milliseconds(6));
       REQUIRE(ran);
       REQUIRE(ran->size() == 2);
       CHECK(ran->front().fingerprint.value == 1);
@@ -43,22 +43,22 @@
     }
     SECTION("once, however often it is looked for") {
       watch.OnRefused(kStart + milliseconds(4));
-      CHECK(watch.TakeEnd(kStart + milliseconds(6)));
+      CHECK(watch.TakeCrash(kStart + milliseconds(6)));
       watch.OnRefused(kStart + milliseconds(20));
-      CHECK_FALSE(watch.TakeEnd(kStart + seconds(1)));
+      CHECK_FALSE(watch.TakeCrash(kStart + seconds(1)));
     }
   }
 
   SECTION("and another start takes its place: it has ended") {
     watch.OnStarted(kStart + seconds(2));
-    CHECK(watch.TakeEnd(kStart + seconds(2) + ServerEndWatch::kSettle));
+    CHECK(watch.TakeCrash(kStart + seconds(2) + ServerEndWatch::kSettle));
   }
 
   SECTION("but answers what was begun after that: it is well") {
     watch.OnAnswer(kStart + milliseconds(1));
     CHECK_FALSE(watch.IsInDoubt());
     watch.OnRefused(kStart + milliseconds(50));
-    CHECK_FALSE(watch.TakeEnd(kStart + seconds(1)));
+    CHECK_FALSE(watch.TakeCrash(kStart + seconds(1)));
   }
 
   SECTION("an answer to what was begun before says nothing") {
@@ -68,16 +68,16 @@
 
   SECTION("and ends much later: of something else") {
     watch.OnRefused(kStart + ServerEndWatch::kMemory + milliseconds(1));
-    CHECK_FALSE(watch.TakeEnd(kStart + seconds(60)));
+    CHECK_FALSE(watch.TakeCrash(kStart + seconds(60)));
   }
 }
 
 TEST_CASE("a server that ends with nothing to do has run nothing") {
   ServerEndWatch watch;
   watch.OnRefused(kStart);
-  CHECK_FALSE(watch.TakeEnd(kStart + seconds(1)));
+  CHECK_FALSE(watch.TakeCrash(kStart + seconds(1)));
   watch.OnStarted(kStart + seconds(2));
-  CHECK_FALSE(watch.TakeEnd(kStart + seconds(3)));
+  CHECK_FALSE(watch.TakeCrash(kStart + seconds(3)));
 }
 
 TEST_CASE("a server that breaks off everything takes no more room") {
@@ -85,7 +85,7 @@
   for (size_t i = 0; i < 2 * ServerEndWatch::kMostBroken; ++i)
     watch.OnBroken(Broken(i, kStart));
   watch.OnRefused(kStart);
-  const auto ran = watch.TakeEnd(kStart + seconds(1));
+  const auto ran = watch.TakeCrash(kStart + seconds(1));
   REQUIRE(ran);
   CHECK(ran->size() == ServerEndWatch::kMostBroken);
 }
--- a/tests/auto/fleet_configuration/configuration_reader_test.cc
+++ b/tests/auto/fleet_configuration/configuration_reader_test.cc
@@ -12,7 +12,7 @@
 #include "configuration/reader_ranks.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
-#include "node/own_configuration_form.h"
+#include "node/native_configuration_format.h"
 #include "platform/hosted_store_form.h"
 
 namespace chestnutport::fleet_configuration {
@@ -101,7 +101,7 @@
                 store::AnyStoreForm::Of(platform::HostedStoreForm())),
         configuration_(
             client_,
-            AnyConfigurationForm::Of(node::OwnConfigurationForm("fleet")),
+            AnyConfigurationForm::Of(node::NativeConfigurationFormat("fleet")),
             "fleet"),
         reader_(
             loop_,
--- a/tests/auto/input/mutated_input_test.cc
+++ b/tests/auto/input/mutated_input_test.cc
@@ -12,7 +12,7 @@
 #include "declarations/configuration.h"
 #include "membership/member.h"
 #include "net/http_message.h"
-#include "operators/drain_order.h"
+#include "operators/drain_request.h"
 #include "platform/hosted_configuration_form.h"
 #include "platform/hosted_store_form.h"
 #include "rpc/call_codec.h"
@@ -136,7 +136,7 @@
     std::string error;
     (void)rpc::DecodeAnswer("configuration.fetch", text, &result, &error);
     (void)membership::Member::FromJson(text);
-    (void)operators::DrainOrder::FromJson(text);
+    (void)operators::DrainRequest::FromJson(text);
   });
 }
 
--- a/tests/auto/node/planned_stop_test.cc
+++ b/tests/auto/node/planned_stop_test.cc
@@ -1,4 +1,5 @@
-// A node that is stopped finishes what its callers and its server have begun.
+// Guards against requests that fail or are cut off when a node is shut down by
+// SIGTERM.
 #include <catch2/catch.hpp>
 #include <csignal>
 #include <thread>
@@ -14,7 +15,7 @@
 constexpr size_t kCallers = 6;
 constexpr size_t kLargeBody = 512 * 1024;
 
-TEST_CASE("a node is stopped with callers' requests in flight") {
+TEST_CASE("a node is shut down with requests in flight") {
   Fleet fleet;
   Vm& a = fleet.AddVm("a", "poa-a", "dossie");
   Vm& b = fleet.AddVm("b", "poa-b", "");
@@ -25,7 +26,7 @@
     return fleet.Operate(b, "GET", "/v1/ready", "").status;
   };
 
-  SECTION("callers are directed elsewhere before it closes") {
+  SECTION("readiness fails before the node closes its listeners") {
     REQUIRE(readiness() == 200);
     std::thread caller(
         [&] { fleet.Call(b, "POST", "/dossie/1?ms=4000", "slow"); });
@@ -35,12 +36,12 @@
     caller.join();
   }
 
-  SECTION("callers of that node get their whole answers") {
+  SECTION("requests in flight are answered completely") {
     std::vector<net::HttpAnswer> answers(kCallers);
     std::vector<std::thread> callers;
     for (size_t i = 0; i < kCallers; ++i) {
       callers.emplace_back([&, i] {
-        // Longer than the node's own notice of leaving.
+        // Longer than the node's leave notice.
         answers[i] = fleet.Call(b, "POST", "/dossie/1?ms=4000",
                                 "slow" + std::to_string(i));
       });
@@ -57,7 +58,7 @@
       CHECK(answer.status == 200);
   }
 
-  SECTION("an answer is sent to its end before the node ends") {
+  SECTION("a large response is sent completely before the node exits") {
     net::HttpAnswer answer;
     std::thread caller([&] {
       answer = fleet.Call(
@@ -75,7 +76,7 @@
   }
 }
 
-TEST_CASE("the server of a node that is stopped works on for others") {
+TEST_CASE("the server of a stopping node keeps serving other nodes") {
   Fleet fleet(std::chrono::seconds(8));
   Vm& a = fleet.AddVm("a", "poa-a", "dossie");
   Vm& b = fleet.AddVm("b", "poa-b", "");
@@ -86,7 +87,7 @@
       [&] { return fleet.Operate(a, "GET", "/v1/ready", "").status == 503; }));
   CHECK(fleet.Call(b, "POST", "/dossie/1?ms=10", "meanwhile").status == 200);
 
-  SECTION("until shortly before the node ends") {
+  SECTION("until shortly before the node exits") {
     CHECK(WaitUntil([&] {
       return fleet.Call(b, "POST", "/dossie/1?ms=10", "late").status == 503;
     }));
--- a/tests/auto/node/server_end_test.cc
+++ b/tests/auto/node/server_end_test.cc
@@ -1,4 +1,4 @@
-// A listener that ends with requests unanswered.
+// Guards against a fault when a reply is used after its listener was destroyed.
 #include <catch2/catch.hpp>
 #include <thread>
 
@@ -8,13 +8,13 @@
 namespace chestnutport::test {
 namespace {
 
-TEST_CASE("a listener ends while a request waits for its answer") {
+TEST_CASE("a listener is destroyed while a request awaits its response") {
   net::EventLoop loop;
-  net::Reply held;
+  net::Reply pending_reply;
   auto opened = net::HttpServer::Open(
       loop, base::SocketAddress::Parse("127.0.0.1:0").value(),
       net::HttpServerLimits{}, [&](const net::HttpRequest&, net::Reply reply) {
-        held = std::move(reply);
+        pending_reply = std::move(reply);
         loop.Stop();
       });
   REQUIRE(opened);
@@ -25,13 +25,13 @@
       [&] { result = Ask(address, {.method = "GET", .target = "/"}); });
   loop.Run();
 
-  SECTION("the caller sees its connection end, and the reply is harmless") {
+  SECTION("the connection is closed, and sending the reply has no effect") {
     server.reset();
     caller.join();
     CHECK(result.end == net::TransferEnd::kLost);
     CHECK(result.answer.status == 0);
-    CHECK_FALSE(held.IsOpen());
-    held.Send({.body = "too late"});
+    CHECK_FALSE(pending_reply.IsOpen());
+    pending_reply.Send({.body = "too late"});
   }
 }
 
--- a/tests/auto/platform/hosted_server_protocol_test.cc
+++ b/tests/auto/platform/hosted_server_protocol_test.cc
@@ -28,23 +28,24 @@
 
 TEST_CASE("only what bears a proof is a success") {
   const HostedServerProtocol protocol;
-  CHECK(protocol.Judge(Head(200, {{"Response-Signature", "s"}})) ==
+  CHECK(protocol.ClassifyResponse(Head(200, {{"Response-Signature", "s"}})) ==
         ServerVerdict::kAnswered);
-  CHECK(protocol.Judge(Head(200, {})) == ServerVerdict::kUnusable);
-  CHECK(protocol.Judge(Head(200, {{"Response-Signature", "s"},
-                                  {"Content-Encoding", "gzip"}})) ==
+  CHECK(protocol.ClassifyResponse(Head(200, {})) == ServerVerdict::kUnusable);
+  CHECK(protocol.ClassifyResponse(Head(200, {{"Response-Signature", "s"},
+                                             {"Content-Encoding", "gzip"}})) ==
         ServerVerdict::kUnusable);
-  CHECK(protocol.Judge(Head(500, {})) == ServerVerdict::kAnswered);
+  CHECK(protocol.ClassifyResponse(Head(500, {})) == ServerVerdict::kAnswered);
 }
 
 TEST_CASE("a refusal is believed only with its own header") {
   const HostedServerProtocol protocol;
   const int status = GENERATE(503, 429, 408);
-  CHECK(protocol.Judge(Head(status, {{"Not-Executed", "1"}})) ==
+  CHECK(protocol.ClassifyResponse(Head(status, {{"Not-Executed", "1"}})) ==
         ServerVerdict::kShed);
   // Handed on it would promise what nobody knows.
-  CHECK(protocol.Judge(Head(status, {})) == ServerVerdict::kUnusable);
-  CHECK(protocol.Judge(Head(421, {{"Instance-Id", "i-2"}})) ==
+  CHECK(protocol.ClassifyResponse(Head(status, {})) ==
+        ServerVerdict::kUnusable);
+  CHECK(protocol.ClassifyResponse(Head(421, {{"Instance-Id", "i-2"}})) ==
         ServerVerdict::kOtherInstance);
 }
 
--- a/tests/auto/server/server_incarnations_test.cc
+++ b/tests/auto/server/server_incarnations_test.cc
@@ -1,5 +1,6 @@
-// Which announcements count, when a server starts again under its instance.
-#include "server/server_incarnations.h"
+// Guards against stale messages of an ended incarnation that replace or remove
+// the current one, and against a restarted server that is never accepted.
+#include "server/server_incarnation_tracker.h"
 
 #include <catch2/catch.hpp>
 
@@ -7,109 +8,123 @@
 namespace {
 
 using std::chrono::milliseconds;
-using Verdict = ServerIncarnations::Verdict;
-
-constexpr milliseconds kFirst(1'000'000);
-constexpr milliseconds kLater(1'030'000);
-constexpr milliseconds kEarlier(970'000);
-
-ServerAnnouncement Say(const std::string& instance,
-                       milliseconds started_at,
-                       int64_t sequence) {
-  ServerAnnouncement said;
-  said.instance = instance;
-  said.started_at = started_at;
-  said.sequence = sequence;
-  return said;
+using Verdict = ServerIncarnationTracker::Verdict;
+
+constexpr milliseconds kFirstStart(1'000'000);
+constexpr milliseconds kLaterStart(1'030'000);
+constexpr milliseconds kEarlierStart(970'000);
+
+ServerAnnouncement Announcement(const std::string& instance,
+                                milliseconds started_at,
+                                int64_t sequence) {
+  ServerAnnouncement announcement;
+  announcement.instance = instance;
+  announcement.started_at = started_at;
+  announcement.sequence = sequence;
+  return announcement;
 }
 
-TEST_CASE("a server that announced itself") {
-  ServerIncarnations server;
+TEST_CASE("a server that has announced itself") {
+  ServerIncarnationTracker tracker;
   const bool overdue = GENERATE(false, true);
-  REQUIRE(server.OnAnnounced(Say("a", kFirst, 7), true) == Verdict::kStarted);
-
-  SECTION("goes on counting") {
-    CHECK(server.OnAnnounced(Say("a", kFirst, 8), overdue) ==
-          Verdict::kContinues);
-    CHECK(server.OnAnnounced(Say("a", kFirst, 8), false) == Verdict::kLate);
+  REQUIRE(tracker.OnAnnounced(Announcement("a", kFirstStart, 7), true) ==
+          Verdict::kNewIncarnation);
+
+  SECTION("continues with increasing sequence numbers") {
+    CHECK(tracker.OnAnnounced(Announcement("a", kFirstStart, 8), overdue) ==
+          Verdict::kCurrentIncarnation);
+    CHECK(tracker.OnAnnounced(Announcement("a", kFirstStart, 8), false) ==
+          Verdict::kStale);
   }
 
-  SECTION("starts again under its instance, and counts anew") {
-    REQUIRE(server.OnAnnounced(Say("a", kLater, 1), overdue) ==
-            Verdict::kStarted);
-    CHECK(server.OnAnnounced(Say("a", kLater, 2), false) ==
-          Verdict::kContinues);
+  SECTION("restarts under the same instance name and resets its sequence") {
+    REQUIRE(tracker.OnAnnounced(Announcement("a", kLaterStart, 1), overdue) ==
+            Verdict::kNewIncarnation);
+    CHECK(tracker.OnAnnounced(Announcement("a", kLaterStart, 2), false) ==
+          Verdict::kCurrentIncarnation);
 
-    SECTION("what the start before it said comes late") {
-      CHECK(server.OnAnnounced(Say("a", kFirst, 9), false) == Verdict::kLate);
+    SECTION("an announcement of the previous incarnation is stale") {
+      CHECK(tracker.OnAnnounced(Announcement("a", kFirstStart, 9), false) ==
+            Verdict::kStale);
     }
-    SECTION("the leave of the start before it changes nothing") {
-      CHECK_FALSE(server.OnLeft("a", kFirst));
-      CHECK(server.OnAnnounced(Say("a", kLater, 3), false) ==
-            Verdict::kContinues);
+    SECTION("deregistration of the previous incarnation has no effect") {
+      CHECK_FALSE(tracker.OnLeft("a", kFirstStart));
+      CHECK(tracker.OnAnnounced(Announcement("a", kLaterStart, 3), false) ==
+            Verdict::kCurrentIncarnation);
     }
-    SECTION("and its own leave ends it") {
-      CHECK(server.OnLeft("a", kLater));
-      CHECK(server.OnAnnounced(Say("a", kLater, 3), true) == Verdict::kLate);
+    SECTION("deregistration of the new incarnation ends it") {
+      CHECK(tracker.OnLeft("a", kLaterStart));
+      CHECK(tracker.OnAnnounced(Announcement("a", kLaterStart, 3), true) ==
+            Verdict::kStale);
     }
   }
 
-  SECTION("starts again after its clock was set back") {
-    const auto said = Say("a", kEarlier, 1);
-    SECTION("and is taken up once the start before it is overdue") {
-      CHECK(server.OnAnnounced(said, true) == Verdict::kStarted);
-      CHECK(server.OnAnnounced(Say("a", kEarlier, 2), false) ==
-            Verdict::kContinues);
-      CHECK(server.OnAnnounced(Say("a", kFirst, 8), false) == Verdict::kLate);
+  SECTION("restarts after its clock was set back") {
+    const auto announcement = Announcement("a", kEarlierStart, 1);
+    SECTION("is accepted once the previous incarnation is overdue") {
+      CHECK(tracker.OnAnnounced(announcement, true) ==
+            Verdict::kNewIncarnation);
+      CHECK(tracker.OnAnnounced(Announcement("a", kEarlierStart, 2), false) ==
+            Verdict::kCurrentIncarnation);
+      CHECK(tracker.OnAnnounced(Announcement("a", kFirstStart, 8), false) ==
+            Verdict::kStale);
     }
-    SECTION("while a late word of an earlier start is not") {
-      CHECK(server.OnAnnounced(said, false) == Verdict::kLate);
-      CHECK(server.OnAnnounced(Say("a", kFirst, 8), false) ==
-            Verdict::kContinues);
+    SECTION("is stale while the previous incarnation is not overdue") {
+      CHECK(tracker.OnAnnounced(announcement, false) == Verdict::kStale);
+      CHECK(tracker.OnAnnounced(Announcement("a", kFirstStart, 8), false) ==
+            Verdict::kCurrentIncarnation);
     }
   }
 
-  SECTION("is taken up again if an earlier start took its place wrongly") {
-    REQUIRE(server.OnAnnounced(Say("a", kEarlier, 90), true) ==
-            Verdict::kStarted);
-    CHECK(server.OnAnnounced(Say("a", kFirst, 9), true) == Verdict::kStarted);
+  SECTION("replaces an earlier incarnation that was accepted by mistake") {
+    REQUIRE(tracker.OnAnnounced(Announcement("a", kEarlierStart, 90), true) ==
+            Verdict::kNewIncarnation);
+    CHECK(tracker.OnAnnounced(Announcement("a", kFirstStart, 9), true) ==
+          Verdict::kNewIncarnation);
   }
 
-  SECTION("keeps its place if another writer does not tell a start") {
-    CHECK(server.OnAnnounced(Say("a", milliseconds(0), 50), overdue) ==
-          Verdict::kLate);
-    CHECK(server.OnAnnounced(Say("a", kFirst, 8), overdue) ==
-          Verdict::kContinues);
+  SECTION("is not replaced by a sender without a start time") {
+    CHECK(tracker.OnAnnounced(Announcement("a", milliseconds(0), 50),
+                              overdue) == Verdict::kStale);
+    CHECK(tracker.OnAnnounced(Announcement("a", kFirstStart, 8), overdue) ==
+          Verdict::kCurrentIncarnation);
   }
 
-  SECTION("gives its place to another instance for good") {
-    REQUIRE(server.OnAnnounced(Say("b", kLater, 1), overdue) ==
-            Verdict::kStarted);
-    CHECK(server.OnAnnounced(Say("a", kFirst, 8), overdue) == Verdict::kLate);
-    CHECK_FALSE(server.OnLeft("a", kFirst));
+  SECTION("is replaced permanently by another instance") {
+    REQUIRE(tracker.OnAnnounced(Announcement("b", kLaterStart, 1), overdue) ==
+            Verdict::kNewIncarnation);
+    CHECK(tracker.OnAnnounced(Announcement("a", kFirstStart, 8), overdue) ==
+          Verdict::kStale);
+    CHECK_FALSE(tracker.OnLeft("a", kFirstStart));
   }
 
-  SECTION("that left comes back only with another start") {
-    REQUIRE(server.OnLeft("a", kFirst));
-    CHECK(server.OnAnnounced(Say("a", kFirst, 8), true) == Verdict::kLate);
-    CHECK(server.OnAnnounced(Say("a", kLater, 1), true) == Verdict::kStarted);
+  SECTION("is accepted after deregistration only as a new incarnation") {
+    REQUIRE(tracker.OnLeft("a", kFirstStart));
+    CHECK(tracker.OnAnnounced(Announcement("a", kFirstStart, 8), true) ==
+          Verdict::kStale);
+    CHECK(tracker.OnAnnounced(Announcement("a", kLaterStart, 1), true) ==
+          Verdict::kNewIncarnation);
   }
 }
 
-TEST_CASE("a node that knows nothing of before takes up the first it hears") {
-  ServerIncarnations server;
-  REQUIRE(server.OnAnnounced(Say("a", kFirst, 40), true) == Verdict::kStarted);
-  SECTION("and the start after it, if the first was late") {
-    CHECK(server.OnAnnounced(Say("a", kLater, 1), false) == Verdict::kStarted);
+TEST_CASE("a node without previous state accepts the first announcement") {
+  ServerIncarnationTracker tracker;
+  REQUIRE(tracker.OnAnnounced(Announcement("a", kFirstStart, 40), true) ==
+          Verdict::kNewIncarnation);
+  SECTION("a later incarnation replaces it if the first was stale") {
+    CHECK(tracker.OnAnnounced(Announcement("a", kLaterStart, 1), false) ==
+          Verdict::kNewIncarnation);
   }
 }
 
-TEST_CASE("a server found by its health path tells its start later") {
-  ServerIncarnations server;
-  REQUIRE(server.OnAnnounced(Say("a", milliseconds(0), 0), true) ==
-          Verdict::kStarted);
-  CHECK(server.OnAnnounced(Say("a", kFirst, 3), false) == Verdict::kContinues);
-  CHECK(server.OnAnnounced(Say("a", kLater, 1), false) == Verdict::kStarted);
+TEST_CASE("a server found by discovery reports its start time later") {
+  ServerIncarnationTracker tracker;
+  REQUIRE(tracker.OnAnnounced(Announcement("a", milliseconds(0), 0), true) ==
+          Verdict::kNewIncarnation);
+  CHECK(tracker.OnAnnounced(Announcement("a", kFirstStart, 3), false) ==
+        Verdict::kCurrentIncarnation);
+  CHECK(tracker.OnAnnounced(Announcement("a", kLaterStart, 1), false) ==
+        Verdict::kNewIncarnation);
 }
 
 }  // namespace
--- a/tests/support/gate_scene.cc
+++ b/tests/support/gate_scene.cc
@@ -4,7 +4,7 @@
 #include <stdexcept>
 
 #include "rpc/call_codec.h"
-#include "server/own_server_protocol.h"
+#include "server/native_server_protocol.h"
 #include "traffic/peer_paths.h"
 #include "wire/header_names.h"
 
@@ -73,7 +73,8 @@
 }
 
 GateScene::GateScene()
-    : GateScene(server::AnyServerProtocol::Of(server::OwnServerProtocol())) {}
+    : GateScene(server::AnyServerProtocol::Of(server::NativeServerProtocol())) {
+}
 
 base::AttemptId GateScene::Begin(const std::string& method,
                                  base::Duration remaining) {
