--- a/src/libs/node/control_plane.cc
+++ b/src/libs/node/control_plane.cc
@@ -202,10 +202,10 @@
 void ControlPlane::AddControlCalls() {
   control_listener_.Add(
       operators::kDrainMethod, [this](const std::string& params) {
-        const auto order = operators::DrainRequest::FromJson(params);
-        if (!order)
+        const auto drain_request = operators::DrainRequest::FromJson(params);
+        if (!drain_request)
           return std::string();
-        SetDraining(order->draining);
+        SetDraining(drain_request->draining);
         return std::string("{}");
       });
 }
--- a/src/libs/operators/drain_request.h
+++ b/src/libs/operators/drain_request.h
@@ -1,4 +1,5 @@
-// The control call node.drain, by which an operator's wish is forwarded.
+// The control call node.drain, which forwards an operator's drain request to
+// the node that it names.
 #ifndef OPERATORS_DRAIN_REQUEST_H_
 #define OPERATORS_DRAIN_REQUEST_H_
 
@@ -11,7 +12,7 @@
 inline constexpr char kDrainMethod[] = "node.drain";
 
 struct DrainRequest {
-  bool draining = true;  // False: take new work again.
+  bool draining = true;  // False ends the drain.
 
   std::string ToJson() const;
   static std::optional<DrainRequest> FromJson(std::string_view text);
--- a/src/libs/operators/managed_node.h
+++ b/src/libs/operators/managed_node.h
@@ -1,4 +1,4 @@
-// What operators see and do of the node that they speak to.
+// The part of a node's state and functions that the operators' API uses.
 #ifndef OPERATORS_MANAGED_NODE_H_
 #define OPERATORS_MANAGED_NODE_H_
 
@@ -15,21 +15,22 @@
 
 namespace chestnutport::operators {
 
-// All that is referred to must outlive it. For the control thread.
+// All referenced objects must outlive this one. Used on the control thread.
 struct ManagedNode {
   const membership::Member& self;
   const std::vector<membership::Member>& members;
-  // As far as this node knows.
+  // As known to this node.
   const evacuation::Evacuations& evacuations;
   fleet_configuration::ConfigurationKeeper& configuration;
   control_calls::ControlCaller& caller;
   fleet::RequestQuarantine& quarantine;
   MetricsApi& metrics;
-  // Whether callers should be directed to this node.
+  // Whether callers should send requests to this node.
   std::function<bool()> is_ready;
-  // By an operator's wish, until it is taken back.
+  // Starts or ends a drain on behalf of an operator. It lasts until it is
+  // ended.
   std::function<void(bool draining)> set_draining;
-  // Carries out an operator's order.
+  // Executes an operator's order.
   std::function<void(const evacuation_store::EvacuationOrder& order,
                      evacuation_store::EvacuationWriter::Handler handler)>
       evacuate;
--- a/src/libs/operators/metrics_api.cc
+++ b/src/libs/operators/metrics_api.cc
@@ -20,13 +20,13 @@
   std::string tenant;
 };
 
-MetricsQuery ReadQuery(std::string_view target) {
+MetricsQuery ParseQuery(std::string_view target) {
   MetricsQuery query;
-  const size_t mark = target.find('?');
-  if (mark == std::string_view::npos)
+  const size_t query_start = target.find('?');
+  if (query_start == std::string_view::npos)
     return query;
   for (const std::string_view part :
-       base::Split(target.substr(mark + 1), '&')) {
+       base::Split(target.substr(query_start + 1), '&')) {
     const size_t equals = std::min(part.find('='), part.size());
     const std::string_view name = part.substr(0, equals);
     const std::string_view value =
@@ -53,23 +53,24 @@
     : collector_(collector), control_readings_(std::move(control_readings)) {}
 
 void MetricsApi::Answer(std::string_view target, net::Reply reply) {
-  const MetricsQuery query = ReadQuery(target);
-  // A std::function must be copyable; the reply is not.
-  auto held = std::make_shared<net::Reply>(std::move(reply));
-  collector_.Collect([this, query, held](telemetry::MetricsReport report) {
-    report.Keep(query.service, query.tenant);
-    for (telemetry::Reading& reading : control_readings_())
-      report.readings.push_back(std::move(reading));
-    net::HttpAnswer answer;
-    if (query.wants_json) {
-      answer.headers = {{"Content-Type", "application/json"}};
-      answer.body = telemetry::WriteMetricsJson(report);
-    } else {
-      answer.headers = {{"Content-Type", telemetry::kExpositionType}};
-      answer.body = telemetry::WriteExposition(report);
-    }
-    held->Send(std::move(answer));
-  });
+  const MetricsQuery query = ParseQuery(target);
+  // std::function requires a copyable callable; net::Reply is move-only.
+  auto shared_reply = std::make_shared<net::Reply>(std::move(reply));
+  collector_.Collect(
+      [this, query, shared_reply](telemetry::MetricsReport report) {
+        report.Keep(query.service, query.tenant);
+        for (telemetry::Reading& reading : control_readings_())
+          report.readings.push_back(std::move(reading));
+        net::HttpAnswer answer;
+        if (query.wants_json) {
+          answer.headers = {{"Content-Type", "application/json"}};
+          answer.body = telemetry::WriteMetricsJson(report);
+        } else {
+          answer.headers = {{"Content-Type", telemetry::kExpositionType}};
+          answer.body = telemetry::WriteExposition(report);
+        }
+        shared_reply->Send(std::move(answer));
+      });
 }
 
 }  // namespace chestnutport::operators
--- a/src/libs/operators/metrics_api.h
+++ b/src/libs/operators/metrics_api.h
@@ -1,8 +1,8 @@
-// The operators' call for metrics: GET /v1/metrics, with these parameters:
-//   format=json  every bucket, for `chestnutport metrics`; else the text
-//                exposition format
-//   service=S    only this service's series
-//   tenant=T     only this tenant's series
+// Handler of GET /v1/metrics of the operators' API. Query parameters:
+//   format=json  JSON with all histogram buckets, for `chestnutport metrics`;
+//                otherwise the text exposition format
+//   service=S    only the series of this service
+//   tenant=T     only the series of this tenant
 #ifndef OPERATORS_METRICS_API_H_
 #define OPERATORS_METRICS_API_H_
 
@@ -16,16 +16,16 @@
 
 namespace chestnutport::operators {
 
-// Whether `target` is the path of this call, with a query or without.
+// Whether `target` is the metrics path, with or without a query.
 bool IsMetricsTarget(std::string_view target);
 
 class MetricsApi {
  public:
-  // `control_readings` gives what the control thread counts itself.
+  // `control_readings` returns the metrics of the control thread.
   MetricsApi(MetricsCollector& collector,
              std::function<std::vector<telemetry::Reading>()> control_readings);
 
-  // `target` is the path with its query.
+  // Sends the report that the query in `target` selects.
   void Answer(std::string_view target, net::Reply reply);
 
  private:
--- a/src/libs/operators/metrics_collector.cc
+++ b/src/libs/operators/metrics_collector.cc
@@ -8,19 +8,20 @@
 namespace chestnutport::operators {
 namespace {
 
-// Series copied at a time: some tens of microseconds of a traffic thread.
-constexpr size_t kSeriesInPart = 64;
+// Copying a page takes some tens of microseconds of a traffic thread.
+constexpr size_t kSeriesPerPage = 64;
 
-// A table as far as it was copied.
+// A partial copy of a table. Starts anew if the generation of the table
+// changes.
 template <typename Series>
 struct PartialCopy {
   bool IsComplete() const { return table_size && series.size() >= *table_size; }
 
   void Extend(const telemetry::SeriesTable<Series>& table) {
-    auto page = table.Copy(series.size(), kSeriesInPart);
+    auto page = table.Copy(series.size(), kSeriesPerPage);
     if (table_size && page.generation != generation) {
       series.clear();
-      page = table.Copy(0, kSeriesInPart);
+      page = table.Copy(0, kSeriesPerPage);
     }
     generation = page.generation;
     table_size = page.table_size;
@@ -28,13 +29,13 @@
   }
 
   uint64_t generation = 0;
-  std::optional<size_t> table_size;  // None before the first part.
+  std::optional<size_t> table_size;  // Unset before the first page.
   std::vector<Series> series;
 };
 
 }  // namespace
 
-// Handed from thread to thread, and used by one at a time.
+// Passed from thread to thread and used by one thread at a time.
 struct MetricsCollector::Collection {
   Handler handler;
   telemetry::MetricsReport report;
@@ -48,25 +49,26 @@
     : control_loop_(control_loop), sources_(std::move(sources)) {}
 
 void MetricsCollector::Collect(Handler handler) {
-  // A std::function must be copyable; a collection need not be.
+  // std::function requires a copyable callable; sharing avoids copies.
   auto collection = std::make_shared<Collection>();
   collection->handler = std::move(handler);
-  AskSource(std::move(collection));
+  CollectNext(std::move(collection));
 }
 
-void MetricsCollector::AskSource(std::shared_ptr<Collection> collection) {
+void MetricsCollector::CollectNext(std::shared_ptr<Collection> collection) {
   if (collection->source == sources_.size()) {
     collection->handler(std::move(collection->report));
     return;
   }
   const Source& source = sources_[collection->source];
   source.loop.Post([this, &source, collection = std::move(collection)] {
-    CopyPart(source, *collection);
-    control_loop_.Post([this, collection] { AskSource(collection); });
+    CopyNextPage(source, *collection);
+    control_loop_.Post([this, collection] { CollectNext(collection); });
   });
 }
 
-void MetricsCollector::CopyPart(const Source& source, Collection& collection) {
+void MetricsCollector::CopyNextPage(const Source& source,
+                                    Collection& collection) {
   const telemetry::TrafficMetrics& metrics = *source.metrics();
   collection.calls.Extend(metrics.calls());
   collection.attempts.Extend(metrics.attempts());
--- a/src/libs/operators/metrics_collector.h
+++ b/src/libs/operators/metrics_collector.h
@@ -1,6 +1,6 @@
-// Gathers the metrics of the traffic threads on the control thread: asks each
-// for copies, a part at a time, so that no thread reads another's state and no
-// traffic is held up for long.
+// Collects the metrics of the traffic threads on the control thread. Each
+// traffic thread copies its metrics page by page, so that no thread reads
+// another thread's state and traffic is delayed only briefly.
 #ifndef OPERATORS_METRICS_COLLECTOR_H_
 #define OPERATORS_METRICS_COLLECTOR_H_
 
@@ -14,12 +14,13 @@
 
 namespace chestnutport::operators {
 
-// For the control thread only. Must outlive its collections.
+// Used on the control thread only. Must outlive the collections in progress.
 class MetricsCollector {
  public:
   using Handler = std::function<void(telemetry::MetricsReport)>;
 
-  // What a traffic thread tells. Called on the thread of `loop`.
+  // Metrics of one traffic thread. The functions are called on the thread of
+  // `loop`.
   struct Source {
     net::EventLoop& loop;
     std::function<const telemetry::TrafficMetrics*()> metrics;
@@ -28,14 +29,14 @@
 
   MetricsCollector(net::EventLoop& control_loop, std::vector<Source> sources);
 
-  // Calls `handler` later, on the control thread.
+  // Starts a collection. Calls `handler` with the result on the control thread.
   void Collect(Handler handler);
 
  private:
   struct Collection;
 
-  void AskSource(std::shared_ptr<Collection> collection);
-  static void CopyPart(const Source& source, Collection& collection);
+  void CollectNext(std::shared_ptr<Collection> collection);
+  static void CopyNextPage(const Source& source, Collection& collection);
 
   net::EventLoop& control_loop_;
   std::vector<Source> sources_;
--- a/src/libs/operators/operator_api.cc
+++ b/src/libs/operators/operator_api.cc
@@ -21,20 +21,21 @@
 
 void OperatorApi::OnRequest(const net::HttpRequest& request, net::Reply reply) {
   const std::string call = request.method + " " + request.target;
-  // Asked by whatever directs callers to nodes, which holds no token.
+  // Needs no token: used as a readiness check by whatever directs callers to
+  // nodes.
   if (call == "GET /v1/ready") {
     HandleReady(node_, std::move(reply));
     return;
   }
-  const std::string who = Authenticate(request);
-  if (who.empty()) {
+  const std::string operator_name = Authenticate(request);
+  if (operator_name.empty()) {
     SendError(reply, ErrorKind::kUnauthorized);
     return;
   }
   if (call == "POST /v1/plan")
     HandlePlan(node_, request, std::move(reply));
   else if (call == "POST /v1/confirm")
-    HandleConfirm(node_, request, who, std::move(reply));
+    HandleConfirm(node_, request, operator_name, std::move(reply));
   else if (call == "GET /v1/status")
     HandleStatus(node_, std::move(reply));
   else if (call == "GET /v1/revisions")
@@ -46,11 +47,11 @@
   else if (call == "GET /v1/quarantine")
     HandleQuarantine(node_, std::move(reply));
   else if (call == "POST /v1/release")
-    HandleRelease(node_, request, who, std::move(reply));
+    HandleRelease(node_, request, operator_name, std::move(reply));
   else if (call == "GET /v1/evacuations")
     HandleEvacuations(node_, std::move(reply));
   else if (call == "POST /v1/evacuate")
-    HandleEvacuate(node_, request, who, std::move(reply));
+    HandleEvacuate(node_, request, operator_name, std::move(reply));
   else if (call == "POST /v1/drain")
     HandleDrain(node_, request, true, std::move(reply));
   else if (call == "POST /v1/undrain")
@@ -60,16 +61,17 @@
 }
 
 std::string OperatorApi::Authenticate(const net::HttpRequest& request) const {
-  std::string_view shown = net::FindHeader(request.headers, "Authorization");
-  if (!shown.starts_with(kBearer))
+  std::string_view credentials =
+      net::FindHeader(request.headers, "Authorization");
+  if (!credentials.starts_with(kBearer))
     return "";
-  shown.remove_prefix(kBearer.size());
-  std::string who;
+  credentials.remove_prefix(kBearer.size());
+  std::string operator_name;
   for (const auto& [name, token] : settings_.operator_tokens) {
-    if (base::EqualInConstantTime(shown, token))
-      who = name;
+    if (base::EqualInConstantTime(credentials, token))
+      operator_name = name;
   }
-  return who;
+  return operator_name;
 }
 
 }  // namespace chestnutport::operators
--- a/src/libs/operators/operator_api.h
+++ b/src/libs/operators/operator_api.h
@@ -1,4 +1,5 @@
-// The operators' API, as HTTP and JSON: who may call, and which call it is.
+// The operators' API over HTTP and JSON: authenticates requests and routes them
+// to their handlers.
 #ifndef OPERATORS_OPERATOR_API_H_
 #define OPERATORS_OPERATOR_API_H_
 
@@ -13,13 +14,15 @@
 
 class OperatorApi {
  public:
-  // Both must outlive the API.
+  // The objects that `node` refers to, and `settings`, must outlive this
+  // object.
   OperatorApi(ManagedNode node, const settings::NodeSettings& settings);
 
   void OnRequest(const net::HttpRequest& request, net::Reply reply);
 
  private:
-  // The name of the operator whose token is shown; empty: nobody's.
+  // Returns the name of the operator whose token the request carries, or an
+  // empty string if no token matches.
   std::string Authenticate(const net::HttpRequest& request) const;
 
   const ManagedNode node_;
--- a/src/libs/operators/operator_confirm.cc
+++ b/src/libs/operators/operator_confirm.cc
@@ -18,13 +18,14 @@
 using configuration::Finish;
 using nlohmann::json;
 
-std::string TimeOfDay() {
+std::string CurrentUtcTime() {
   return absl::FormatTime("%Y-%m-%dT%H:%M:%E3SZ", absl::Now(),
                           absl::UTCTimeZone());
 }
 
-// Read before the declarations, which have been parsed once by then.
-std::string PlanOf(const std::string& body) {
+// Returns the plan id, or an empty string if it is missing. The body has
+// already been parsed once for the declarations.
+std::string ParsePlanId(const std::string& body) {
   const json object = json::parse(body, nullptr, false);
   if (!object.is_object() || !object.contains("plan") ||
       !object["plan"].is_string()) {
@@ -33,7 +34,8 @@
   return object["plan"].get<std::string>();
 }
 
-// What was confirmed after the plan's base: per key, by whom and when.
+// Returns the changes confirmed since the plan's base revision: for each key,
+// by whom and when.
 json ChangedSince(const ManagedNode& node,
                   const Finish& finish,
                   uint64_t base_revision) {
@@ -55,10 +57,10 @@
   return changes;
 }
 
-void SendVerdict(net::Reply& reply,
-                 const ManagedNode& node,
-                 const Finish& finish,
-                 uint64_t base_revision) {
+void SendConfirmResult(net::Reply& reply,
+                       const ManagedNode& node,
+                       const Finish& finish,
+                       uint64_t base_revision) {
   switch (finish.verdict) {
     case ConfirmVerdict::kConfirmed:
       SendJson(reply, {{"revision", finish.revision}, {"again", false}});
@@ -85,25 +87,26 @@
 
 void HandleConfirm(const ManagedNode& node,
                    const net::HttpRequest& request,
-                   const std::string& who,
+                   const std::string& operator_name,
                    net::Reply reply) {
   auto texts = ReadDeclarations(request, reply);
   if (!texts)
     return;
-  const std::string plan_id = PlanOf(request.body);
+  const std::string plan_id = ParsePlanId(request.body);
   const auto base_revision = configuration::BaseRevision(plan_id);
   if (!base_revision ||
       configuration::PlanId(*base_revision, *texts) != plan_id) {
     SendError(reply, ErrorKind::kPlanMismatch);
     return;
   }
-  const ConfirmRequest confirm{*base_revision, plan_id, who, TimeOfDay(),
-                               *std::move(texts)};
-  // A std::function must be copyable; the reply is not.
-  auto held = std::make_shared<net::Reply>(std::move(reply));
+  const ConfirmRequest confirm{*base_revision, plan_id, operator_name,
+                               CurrentUtcTime(), *std::move(texts)};
+  // std::function requires a copyable callable; net::Reply is move-only.
+  auto shared_reply = std::make_shared<net::Reply>(std::move(reply));
   node.configuration.Confirm(
-      confirm, [held, &node, base = *base_revision](const Finish& finish) {
-        SendVerdict(*held, node, finish, base);
+      confirm,
+      [shared_reply, &node, base = *base_revision](const Finish& finish) {
+        SendConfirmResult(*shared_reply, node, finish, base);
       });
 }
 
--- a/src/libs/operators/operator_drain.cc
+++ b/src/libs/operators/operator_drain.cc
@@ -14,10 +14,11 @@
 using membership::Member;
 using nlohmann::json;
 
-constexpr base::Duration kTimeout = std::chrono::seconds(3);
+constexpr base::Duration kForwardTimeout = std::chrono::seconds(3);
 
-// The name or id in the body; empty: this node. Nothing if it is malformed.
-std::optional<std::string> WantedNode(const std::string& body) {
+// Returns the node name or id in the body, or an empty string if none is given,
+// which means this node. Returns nothing if the body is malformed.
+std::optional<std::string> ParseNodeName(const std::string& body) {
   if (body.empty())
     return "";
   const json object = json::parse(body, nullptr, false);
@@ -31,34 +32,37 @@
 }
 
 std::vector<Member> FindMembers(const ManagedNode& node,
-                                const std::string& wanted) {
-  std::vector<Member> found;
+                                const std::string& name_or_id) {
+  std::vector<Member> members;
   for (const Member& member : node.members) {
-    const bool named = member.name == wanted || member.id.ToString() == wanted;
-    if (named && member.state != membership::MemberState::kGone)
-      found.push_back(member);
+    const bool matches =
+        member.name == name_or_id || member.id.ToString() == name_or_id;
+    if (matches && member.state != membership::MemberState::kGone)
+      members.push_back(member);
   }
-  return found;
+  return members;
 }
 
-void Forward(const ManagedNode& node,
-             const Member& member,
-             const DrainRequest& order,
-             net::Reply reply) {
-  // A std::function must be copyable; the reply is not.
-  auto held = std::make_shared<net::Reply>(std::move(reply));
-  node.caller.Call(member.control_address, kDrainMethod, order.ToJson(),
-                   kTimeout, [held, member, order](const auto& answer) {
+void ForwardDrain(const ManagedNode& node,
+                  const Member& member,
+                  const DrainRequest& drain_request,
+                  net::Reply reply) {
+  // std::function requires a copyable callable; net::Reply is move-only.
+  auto shared_reply = std::make_shared<net::Reply>(std::move(reply));
+  node.caller.Call(member.control_address, kDrainMethod, drain_request.ToJson(),
+                   kForwardTimeout,
+                   [shared_reply, member, drain_request](const auto& answer) {
                      if (!answer) {
-                       // Repeating it is harmless, whether it arrived or
-                       // not.
-                       SendError(*held, base::KindOf(answer.error()),
+                       // The call is idempotent, so that it may be retried
+                       // whether or not it arrived.
+                       SendError(*shared_reply, base::KindOf(answer.error()),
                                  {{"node", member.id.ToString()}});
                        return;
                      }
-                     SendJson(*held, {{"node", member.id.ToString()},
-                                      {"name", member.name},
-                                      {"draining", order.draining}});
+                     SendJson(*shared_reply,
+                              {{"node", member.id.ToString()},
+                               {"name", member.name},
+                               {"draining", drain_request.draining}});
                    });
 }
 
@@ -68,31 +72,31 @@
                  const net::HttpRequest& request,
                  bool draining,
                  net::Reply reply) {
-  const auto wanted = WantedNode(request.body);
-  if (!wanted) {
+  const auto name_or_id = ParseNodeName(request.body);
+  if (!name_or_id) {
     SendError(reply, ErrorKind::kMalformedRequest,
               {{"accepted", "{\"node\": name or id}"}});
     return;
   }
   const Member& self = node.self;
-  if (wanted->empty() || *wanted == self.id.ToString()) {
+  if (name_or_id->empty() || *name_or_id == self.id.ToString()) {
     node.set_draining(draining);
     SendJson(reply, {{"node", self.id.ToString()},
                      {"name", self.name},
                      {"draining", draining}});
     return;
   }
-  const std::vector<Member> found = FindMembers(node, *wanted);
-  if (found.empty()) {
-    SendError(reply, ErrorKind::kNotFound, {{"node", *wanted}});
-  } else if (found.size() > 1) {
+  const std::vector<Member> members = FindMembers(node, *name_or_id);
+  if (members.empty()) {
+    SendError(reply, ErrorKind::kNotFound, {{"node", *name_or_id}});
+  } else if (members.size() > 1) {
     json ids = json::array();
-    for (const Member& member : found)
+    for (const Member& member : members)
       ids.push_back(member.id.ToString());
     SendError(reply, ErrorKind::kMalformedRequest,
-              {{"node", *wanted}, {"accepted", ids}});
+              {{"node", *name_or_id}, {"accepted", ids}});
   } else {
-    Forward(node, found[0], {draining}, std::move(reply));
+    ForwardDrain(node, members[0], {draining}, std::move(reply));
   }
 }
 
--- a/src/libs/operators/operator_evacuation.cc
+++ b/src/libs/operators/operator_evacuation.cc
@@ -17,7 +17,8 @@
 using evacuation_store::EvacuationOrder;
 using nlohmann::json;
 
-// Nothing if the body is malformed. The plan is empty if none is named.
+// Returns nothing if the body is malformed. The plan id is empty if the body
+// has none.
 std::optional<EvacuationOrder> ReadOrder(const std::string& body) {
   const json object = json::parse(body, nullptr, false);
   if (!object.is_object())
@@ -33,14 +34,15 @@
   }
 }
 
-bool IsKnown(const ManagedNode& node, const std::string& data_centre) {
+bool HasMembers(const ManagedNode& node, const std::string& data_centre) {
   return std::ranges::any_of(node.members,
                              [&](const membership::Member& member) {
                                return member.data_centre == data_centre;
                              });
 }
 
-// Servers that would take work with `evacuated`, by service.
+// Returns the number of servers per service that would accept requests if the
+// data centres in `evacuated` were evacuated.
 std::map<std::string, int> CountServers(
     const ManagedNode& node,
     const evacuation_store::DataCentres& evacuated) {
@@ -49,10 +51,10 @@
     if (!member.server)
       continue;
     int& count = servers[member.server->service];
-    const bool is_out =
+    const bool is_unavailable =
         std::ranges::find(evacuated, member.data_centre) != evacuated.end() ||
         member.state == membership::MemberState::kGone;
-    count += is_out ? 0 : 1;
+    count += is_unavailable ? 0 : 1;
   }
   return servers;
 }
@@ -83,7 +85,7 @@
 
 void HandleEvacuate(const ManagedNode& node,
                     const net::HttpRequest& request,
-                    const std::string& who,
+                    const std::string& operator_name,
                     net::Reply reply) {
   const auto order = ReadOrder(request.body);
   if (!order) {
@@ -94,7 +96,7 @@
     return;
   }
   const EvacuationChange& change = order->change;
-  if (change.is_evacuated && !IsKnown(node, change.data_centre)) {
+  if (change.is_evacuated && !HasMembers(node, change.data_centre)) {
     SendError(reply, ErrorKind::kNotFound,
               {{"data_centre", change.data_centre}});
     return;
@@ -103,20 +105,21 @@
     SendPlan(node, change, reply);
     return;
   }
-  // A std::function must be copyable; the reply is not.
-  auto held = std::make_shared<net::Reply>(std::move(reply));
-  node.evacuate(*order, [held, change, who](const auto& done) {
-    if (!done) {
-      SendError(*held, base::KindOf(done.error()),
-                {{"data_centre", change.data_centre}});
-      return;
-    }
-    telemetry::LogEvent(telemetry::Event::kEvacuationConfirmed,
-                        {{"data_centre", change.data_centre},
-                         {"evacuated", change.is_evacuated ? "yes" : "no"},
-                         {"by", who}});
-    SendJson(*held, {{"data_centres", done.value()}});
-  });
+  // std::function requires a copyable callable; net::Reply is move-only.
+  auto shared_reply = std::make_shared<net::Reply>(std::move(reply));
+  node.evacuate(
+      *order, [shared_reply, change, operator_name](const auto& result) {
+        if (!result) {
+          SendError(*shared_reply, base::KindOf(result.error()),
+                    {{"data_centre", change.data_centre}});
+          return;
+        }
+        telemetry::LogEvent(telemetry::Event::kEvacuationConfirmed,
+                            {{"data_centre", change.data_centre},
+                             {"evacuated", change.is_evacuated ? "yes" : "no"},
+                             {"by", operator_name}});
+        SendJson(*shared_reply, {{"data_centres", result.value()}});
+      });
 }
 
 }  // namespace chestnutport::operators
--- a/src/libs/operators/operator_quarantine.cc
+++ b/src/libs/operators/operator_quarantine.cc
@@ -12,31 +12,31 @@
 using base::RequestFingerprint;
 using nlohmann::json;
 
-// In whole milliseconds.
-std::string Rounded(base::Duration duration) {
+// Formats the duration, rounded to milliseconds.
+std::string FormatRounded(base::Duration duration) {
   return base::FormatDuration(
       std::chrono::round<std::chrono::milliseconds>(duration));
 }
 
-json Describe(const fleet::RequestQuarantine& quarantine,
-              const fleet::HeldRequest& held,
-              base::Instant now) {
-  json ends = json::array();
+json ToJson(const fleet::RequestQuarantine& quarantine,
+            const fleet::HeldRequest& held,
+            base::Instant now) {
+  json crashes = json::array();
   for (const quarantine::CrashMark& mark : held.evidence.marks) {
-    ends.push_back({{"node", quarantine.NameOf(mark.crash.node)},
-                    {"life", mark.crash.life},
-                    {"ago", Rounded(now - mark.at)},
-                    {"ran", Rounded(mark.ran)},
-                    {"alone", mark.is_alone}});
+    crashes.push_back({{"node", quarantine.NameOf(mark.crash.node)},
+                       {"life", mark.crash.life},
+                       {"ago", FormatRounded(now - mark.at)},
+                       {"ran", FormatRounded(mark.ran)},
+                       {"alone", mark.is_alone}});
   }
   return {{"fingerprint", held.evidence.fingerprint.ToString()},
           {"verdict", std::string(ToString(held.verdict.verdict))},
-          {"for", Rounded(held.verdict.until - now)},
-          {"ends", ends}};
+          {"for", FormatRounded(held.verdict.until - now)},
+          {"ends", crashes}};
 }
 
-// Nothing if the body names none.
-std::optional<RequestFingerprint> WantedRequest(const std::string& body) {
+// Returns the fingerprint in the body, or nothing if it has no valid one.
+std::optional<RequestFingerprint> ParseFingerprint(const std::string& body) {
   const json object = json::parse(body, nullptr, false);
   if (!object.is_object() || !object.contains("fingerprint") ||
       !object["fingerprint"].is_string()) {
@@ -51,26 +51,27 @@
   const fleet::RequestQuarantine& quarantine = node.quarantine;
   json requests = json::array();
   for (const fleet::HeldRequest& held : quarantine.Held())
-    requests.push_back(Describe(quarantine, held, base::Clock::now()));
+    requests.push_back(ToJson(quarantine, held, base::Clock::now()));
   SendJson(reply, {{"requests", requests}});
 }
 
 void HandleRelease(const ManagedNode& node,
                    const net::HttpRequest& request,
-                   const std::string& who,
+                   const std::string& operator_name,
                    net::Reply reply) {
-  const auto wanted = WantedRequest(request.body);
-  if (!wanted) {
+  const auto fingerprint = ParseFingerprint(request.body);
+  if (!fingerprint) {
     SendError(reply, base::ErrorKind::kMalformedRequest,
               {{"accepted", "{\"fingerprint\": 16 hexadecimal digits}"}});
     return;
   }
-  if (!node.quarantine.Release(*wanted, who)) {
+  if (!node.quarantine.Release(*fingerprint, operator_name)) {
     SendError(reply, base::ErrorKind::kNotFound,
-              {{"fingerprint", wanted->ToString()}});
+              {{"fingerprint", fingerprint->ToString()}});
     return;
   }
-  SendJson(reply, {{"fingerprint", wanted->ToString()}, {"released", true}});
+  SendJson(reply,
+           {{"fingerprint", fingerprint->ToString()}, {"released", true}});
 }
 
 }  // namespace chestnutport::operators
--- a/src/libs/operators/operator_response.cc
+++ b/src/libs/operators/operator_response.cc
@@ -10,8 +10,8 @@
 
 constexpr int kOk = 200;
 
-// Bytes that are no UTF-8 are replaced: an answer must not fail by them.
-std::string Write(const json& body) {
+// Replaces invalid UTF-8, which would otherwise make the serialisation throw.
+std::string ToBody(const json& body) {
   return body.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
@@ -20,7 +20,7 @@
 void SendJson(net::Reply& reply, const json& body) {
   reply.Send({.status = kOk,
               .headers = {{"Content-Type", "application/json"}},
-              .body = Write(body)});
+              .body = ToBody(body)});
 }
 
 void SendError(net::Reply& reply, base::ErrorKind kind, json details) {
@@ -35,7 +35,7 @@
     answer.headers.push_back(
         {"Retry-After", std::to_string(row.retry_after.count())});
   }
-  answer.body = Write(details);
+  answer.body = ToBody(details);
   reply.Send(std::move(answer));
 }
 
--- a/src/libs/operators/operator_response.h
+++ b/src/libs/operators/operator_response.h
@@ -1,4 +1,4 @@
-// Answers of the operators' API.
+// Responses of the operators' API.
 #ifndef OPERATORS_OPERATOR_RESPONSE_H_
 #define OPERATORS_OPERATOR_RESPONSE_H_
 
@@ -11,7 +11,7 @@
 
 void SendJson(net::Reply& reply, const nlohmann::json& body);
 
-// Adds the error's name, outcome, text and when to come back to `details`.
+// Sends `details` with the error's name, outcome, text and retry delay added.
 void SendError(net::Reply& reply,
                base::ErrorKind kind,
                nlohmann::json details = nlohmann::json::object());
--- a/src/libs/operators/operator_revisions.cc
+++ b/src/libs/operators/operator_revisions.cc
@@ -16,51 +16,55 @@
 using membership::Member;
 using nlohmann::json;
 
-constexpr size_t kAskedAtOnce = 64;
-constexpr base::Duration kTimeout = std::chrono::seconds(2);
+constexpr size_t kMaxConcurrentCalls = 64;
+constexpr base::Duration kCallTimeout = std::chrono::seconds(2);
 
-// Asks every member for its revision, some at a time, and answers once all
-// have answered or were given up. Lives until then.
+// Queries every member that is not gone for its revision, with a limited number
+// of concurrent calls, and sends the response once each call has completed or
+// timed out. Keeps itself alive until then.
 class RevisionSurvey : public std::enable_shared_from_this<RevisionSurvey> {
  public:
   RevisionSurvey(control_calls::ControlCaller& caller,
-                 uint64_t own,
+                 uint64_t own_revision,
                  net::Reply reply)
-      : caller_(caller), own_(own), reply_(std::move(reply)) {}
+      : caller_(caller),
+        own_revision_(own_revision),
+        reply_(std::move(reply)) {}
 
   void Run(const Member& self, const std::vector<Member>& members) {
-    Add(self, own_);
+    Add(self, own_revision_);
     for (const Member& member : members) {
       if (member.id != self.id &&
           member.state != membership::MemberState::kGone) {
-        waiting_.push_back(member);
+        pending_.push_back(member);
       }
     }
-    AskSome();
+    StartCalls();
   }
 
  private:
-  void AskSome() {
-    while (asked_ < kAskedAtOnce && !waiting_.empty()) {
-      Ask(waiting_.back());
-      waiting_.pop_back();
+  void StartCalls() {
+    while (calls_in_flight_ < kMaxConcurrentCalls && !pending_.empty()) {
+      StartCall(pending_.back());
+      pending_.pop_back();
     }
-    if (asked_ == 0)
-      End();
+    if (calls_in_flight_ == 0)
+      SendResult();
   }
 
-  void Ask(const Member& member) {
-    ++asked_;
-    // Nothing is sent along with what this node holds already.
+  void StartCall(const Member& member) {
+    ++calls_in_flight_;
+    // With the greatest possible revision as the one held here, the response
+    // contains no documents.
     const FetchRequest request{UINT64_MAX};
     caller_.Call(
         member.control_address, configuration::kFetchMethod, request.ToJson(),
-        kTimeout, [survey = shared_from_this(), member](const auto& text) {
+        kCallTimeout, [survey = shared_from_this(), member](const auto& text) {
           const auto answer =
               text ? FetchAnswer::FromJson(text.value()) : std::nullopt;
           survey->Add(member, answer ? json(answer->revision) : json(nullptr));
-          --survey->asked_;
-          survey->AskSome();
+          --survey->calls_in_flight_;
+          survey->StartCalls();
         });
   }
 
@@ -70,36 +74,37 @@
                       {"data_centre", member.data_centre},
                       {"revision", revision}});
     if (revision.is_number())
-      newest_ = std::max(newest_, revision.get<uint64_t>());
+      newest_revision_ = std::max(newest_revision_, revision.get<uint64_t>());
   }
 
-  void End() {
+  void SendResult() {
     std::ranges::sort(nodes_, {},
                       [](const json& node) { return node["name"]; });
-    const auto current = std::ranges::count_if(
-        nodes_, [&](const json& node) { return node["revision"] == newest_; });
+    const auto current = std::ranges::count_if(nodes_, [&](const json& node) {
+      return node["revision"] == newest_revision_;
+    });
     const auto silent = std::ranges::count_if(
         nodes_, [](const json& node) { return node["revision"].is_null(); });
-    SendJson(reply_, {{"revision", newest_},
+    SendJson(reply_, {{"revision", newest_revision_},
                       {"nodes", nodes_},
                       {"current", current},
                       {"silent", silent}});
   }
 
   control_calls::ControlCaller& caller_;
-  uint64_t own_;
+  uint64_t own_revision_;
   net::Reply reply_;
-  std::vector<Member> waiting_;
-  size_t asked_ = 0;
-  uint64_t newest_ = 0;
+  std::vector<Member> pending_;
+  size_t calls_in_flight_ = 0;
+  uint64_t newest_revision_ = 0;
   std::vector<json> nodes_;
 };
 
 }  // namespace
 
 void HandleRevisions(const ManagedNode& node, net::Reply reply) {
-  const uint64_t own = node.configuration.held().head().revision;
-  std::make_shared<RevisionSurvey>(node.caller, own, std::move(reply))
+  const uint64_t own_revision = node.configuration.held().head().revision;
+  std::make_shared<RevisionSurvey>(node.caller, own_revision, std::move(reply))
       ->Run(node.self, node.members);
 }
 
--- a/src/libs/server/local_server.h
+++ b/src/libs/server/local_server.h
@@ -37,7 +37,7 @@
   using DeclaredPredicate = std::function<bool(const std::string& service)>;
 
   // `loop` must outlive this object. `changed` is called after each change of
-  // state() that other components have to know.
+  // state(), but for small shifts of `cold_until`, which are not published.
   LocalServer(net::EventLoop& loop,
               DeclaredPredicate is_declared,
               ChangedHandler changed);
--- a/src/libs/server/server_state.h
+++ b/src/libs/server/server_state.h
@@ -16,7 +16,9 @@
   bool announced = false;
   std::string service;
   base::SocketAddress address;
-  uint64_t life = 0;        // Incremented with each new incarnation.
+  // Incarnation number. Incremented with each new incarnation, and if the
+  // server announces itself after a withdrawal or with another address.
+  uint64_t life = 0;
   std::string instance;     // Instance name, if the server sends one.
   std::string health_path;  // Not probed if empty.
   admission::AdmissionOptions admission;
--- a/tests/auto/operators/command_test.cc
+++ b/tests/auto/operators/command_test.cc
@@ -1,4 +1,5 @@
-// The operators' command, as people and scripts use it.
+// Guards against wrong exit codes, output or effects of the chestnutport
+// command, which operators and their scripts rely on.
 #include <unistd.h>
 
 #include <catch2/catch.hpp>
@@ -15,15 +16,15 @@
 namespace {
 
 using nlohmann::json;
-using Words = std::vector<std::string>;
+using Arguments = std::vector<std::string>;
 
-struct Ran {
+struct CommandResult {
   int exit_code = -1;
   std::string output;
 };
 
-Ran Run(const Words& words) {
-  Process command("chestnutport", words);
+CommandResult RunCommand(const Arguments& arguments) {
+  Process command("chestnutport", arguments);
   const auto status = command.WaitForExit(std::chrono::seconds(60));
   return {status.value_or(-1), command.Output()};
 }
@@ -32,14 +33,14 @@
   return text.find(part) != std::string::npos;
 }
 
-class Folder {
+class DeclarationFolder {
  public:
-  explicit Folder(const std::string& name)
+  explicit DeclarationFolder(const std::string& name)
       : path_(std::filesystem::temp_directory_path() /
               ("chestnutport-command-" + std::to_string(getpid()) + name)) {
     std::filesystem::create_directories(path_);
   }
-  ~Folder() { std::filesystem::remove_all(path_); }
+  ~DeclarationFolder() { std::filesystem::remove_all(path_); }
 
   void Declare(const std::string& service, int slots) const {
     std::ofstream(path_ / (service + ".ini"))
@@ -52,9 +53,9 @@
   std::filesystem::path path_;
 };
 
-TEST_CASE("a command line of nonsense is refused, and nothing crashes") {
-  const Folder folder("empty");
-  const std::vector<Words> rows = {
+TEST_CASE("an invalid command line is rejected with exit code 2") {
+  const DeclarationFolder folder("empty");
+  const std::vector<Arguments> rows = {
       {},
       {"nonsense"},
       {"check"},
@@ -78,17 +79,18 @@
       {"status", "--colour=red"},
       {"confirm", "1-ab", folder.path(), "--wait=soon"},
   };
-  for (const Words& words : rows) {
-    const Ran ran = Run(words);
-    INFO((words.empty() ? "no word" : words.front()) << ": " << ran.output);
-    CHECK(ran.exit_code == 2);
-    CHECK_FALSE(ran.output.empty());
+  for (const Arguments& arguments : rows) {
+    const CommandResult result = RunCommand(arguments);
+    INFO((arguments.empty() ? "no argument" : arguments.front())
+         << ": " << result.output);
+    CHECK(result.exit_code == 2);
+    CHECK_FALSE(result.output.empty());
   }
-  CHECK(Run({"status", "--node=127.0.0.1:1"}).exit_code == 3);
-  CHECK(Run({"drain", "--node=127.0.0.1:1"}).exit_code == 3);
+  CHECK(RunCommand({"status", "--node=127.0.0.1:1"}).exit_code == 3);
+  CHECK(RunCommand({"drain", "--node=127.0.0.1:1"}).exit_code == 3);
 }
 
-TEST_CASE("help is the program's own text and nothing else") {
+TEST_CASE("--help prints only the program's own text") {
   const std::string program = GENERATE("chestnutport", "chestnutportd");
   Process command(program, {"--help"});
   CHECK(command.WaitForExit(std::chrono::seconds(60)) == 0);
@@ -97,8 +99,8 @@
   CHECK_FALSE(Contains(text, "--helpfull"));
 }
 
-TEST_CASE("a missing setting is told without a line that does not exist") {
-  const Folder folder("settings");
+TEST_CASE("a missing setting is reported without a line number") {
+  const DeclarationFolder folder("settings");
   const std::string path = folder.path() + "/node.ini";
   std::ofstream(path) << "[node]\n";
   Process node("chestnutportd", {"--settings=" + path});
@@ -107,118 +109,125 @@
   CHECK_FALSE(Contains(node.Output(), path + ":0"));
 }
 
-TEST_CASE("each command has its help") {
+TEST_CASE("each command has a help text") {
   for (const char* command :
        {"check", "plan", "confirm", "history", "status", "servers", "drain",
         "undrain", "evacuate", "readmit", "evacuations", "quarantine",
         "release"}) {
-    const Ran ran = Run({"help", command});
-    CHECK(ran.exit_code == 0);
-    CHECK(Contains(ran.output, std::string("chestnutport ") + command));
-    CHECK(Contains(ran.output, "Exit codes: 0 done"));
+    const CommandResult result = RunCommand({"help", command});
+    CHECK(result.exit_code == 0);
+    CHECK(Contains(result.output, std::string("chestnutport ") + command));
+    CHECK(Contains(result.output, "Exit codes: 0 done"));
   }
 }
 
-TEST_CASE("from a folder of declarations to a configuration in force") {
+TEST_CASE("declarations are planned, confirmed and in force on all nodes") {
   setenv("CHESTNUTPORT_TOKEN", kOperatorToken, 1);
   Fleet fleet;
   Vm& a = fleet.AddVm("a", "poa-a", "dossie");
   Vm& b = fleet.AddVm("b", "poa-b", "dossie");
   const std::string node = "--node=" + a.operator_address.ToString();
-  const Folder folder("declared");
+  const DeclarationFolder folder("declared");
   folder.Declare("dossie", 10);
   REQUIRE(fleet.WaitReady(a, 2, 0));
 
   const auto plan = [&] {
-    const Ran ran = Run({node, "--output=json", "plan", folder.path()});
-    REQUIRE(ran.exit_code == 0);
-    return json::parse(ran.output).at("plan").get<std::string>();
+    const CommandResult result =
+        RunCommand({node, "--output=json", "plan", folder.path()});
+    REQUIRE(result.exit_code == 0);
+    return json::parse(result.output).at("plan").get<std::string>();
   };
   const std::string first = plan();
-  const Ran confirmed =
-      Run({node, "confirm", first, folder.path(), "--wait=30s"});
+  const CommandResult confirmed =
+      RunCommand({node, "confirm", first, folder.path(), "--wait=30s"});
   INFO(confirmed.output);
   REQUIRE(confirmed.exit_code == 0);
   CHECK(Contains(confirmed.output, "Confirmed: revision 1"));
   CHECK(Contains(confirmed.output, "In force on all 2 nodes"));
 
-  SECTION("a plan names keys, servers and tenants") {
+  SECTION("a plan lists changed keys, servers and tenants") {
     folder.Declare("dossie", 11);
-    const Ran ran = Run({node, "plan", folder.path()});
-    CHECK(Contains(ran.output, "changed  dossie   servers  slots  10      11"));
-    CHECK(Contains(ran.output, "dossie   2        all"));
+    const CommandResult result = RunCommand({node, "plan", folder.path()});
+    CHECK(Contains(result.output,
+                   "changed  dossie   servers  slots  10      11"));
+    CHECK(Contains(result.output, "dossie   2        all"));
   }
-  SECTION("a stale plan is refused with what changed, and changes nothing") {
+  SECTION("a stale plan is rejected with the conflicting changes") {
     const std::string second = plan();
     folder.Declare("dossie", 11);
     const std::string third = plan();
-    CHECK(Run({node, "confirm", third, folder.path()}).exit_code == 0);
+    CHECK(RunCommand({node, "confirm", third, folder.path()}).exit_code == 0);
     folder.Declare("dossie", 10);
-    const Ran stale = Run({node, "confirm", second, folder.path()});
+    const CommandResult stale =
+        RunCommand({node, "confirm", second, folder.path()});
     CHECK(stale.exit_code == 1);
     CHECK(Contains(stale.output, "stale-plan"));
     CHECK(Contains(stale.output, "alice"));
     CHECK(Contains(stale.output, "slots"));
-    CHECK(Run({node, "confirm", first, folder.path()}).exit_code == 0);
+    CHECK(RunCommand({node, "confirm", first, folder.path()}).exit_code == 0);
   }
-  SECTION("a plan is good for its own declarations only") {
+  SECTION("a plan is valid only for its own declarations") {
     const std::string second = plan();
     folder.Declare("dossie", 11);
-    const Ran ran = Run({node, "confirm", second, folder.path()});
-    CHECK(ran.exit_code == 1);
-    CHECK(Contains(ran.output, "plan-mismatch"));
+    const CommandResult result =
+        RunCommand({node, "confirm", second, folder.path()});
+    CHECK(result.exit_code == 1);
+    CHECK(Contains(result.output, "plan-mismatch"));
   }
-  SECTION("status, servers and history are readable") {
-    CHECK(Contains(Run({node, "status"}).output,
+  SECTION("status, servers and history are printed") {
+    CHECK(Contains(RunCommand({node, "status"}).output,
                    "Revision 1 is in force on 2 of 2 nodes; 0 did not answer"));
-    CHECK(Contains(Run({node, "servers"}).output, "serving"));
-    CHECK(Contains(Run({node, "history"}).output, "alice"));
+    CHECK(Contains(RunCommand({node, "servers"}).output, "serving"));
+    CHECK(Contains(RunCommand({node, "history"}).output, "alice"));
   }
-  SECTION("a node that stopped answering is told apart") {
+  SECTION("a node that does not respond is counted separately") {
     b.node->Signal(SIGSTOP);
-    const Ran ran = Run({node, "status"});
+    const CommandResult result = RunCommand({node, "status"});
     b.node->Signal(SIGCONT);
-    CHECK(Contains(ran.output, "1 of 2 nodes; 1 did not answer"));
+    CHECK(Contains(result.output, "1 of 2 nodes; 1 did not answer"));
   }
-  SECTION("another node is drained and taken back") {
-    CHECK(Run({node, "drain", "b"}).exit_code == 0);
+  SECTION("another node is drained and undrained") {
+    CHECK(RunCommand({node, "drain", "b"}).exit_code == 0);
     CHECK(fleet.WaitReady(a, 1, 1));
-    CHECK(Run({node, "undrain", "b"}).exit_code == 0);
+    CHECK(RunCommand({node, "undrain", "b"}).exit_code == 0);
     CHECK(fleet.WaitReady(a, 2, 1));
-    CHECK(Run({node, "drain", "nobody"}).exit_code == 1);
+    CHECK(RunCommand({node, "drain", "nobody"}).exit_code == 1);
   }
-  SECTION("a data centre is evacuated by a plan, and taken back by one") {
+  SECTION("a data centre is evacuated and readmitted by a plan") {
     const auto plan_of = [&](const char* command) {
-      const Ran ran = Run({node, "--output=json", command, "poa-b"});
-      return json::parse(ran.output).at("plan").get<std::string>();
+      const CommandResult result =
+          RunCommand({node, "--output=json", command, "poa-b"});
+      return json::parse(result.output).at("plan").get<std::string>();
     };
     const std::string evacuation = plan_of("evacuate");
-    CHECK(Contains(Run({node, "evacuations"}).output, "none"));
-    CHECK(
-        Run({node, "evacuate", "poa-b", "evacuate-poa-b-beside-x"}).exit_code ==
-        1);
-    CHECK(Run({node, "evacuate", "nowhere"}).exit_code == 1);
-    CHECK(Run({node, "evacuate", "poa-b", evacuation}).exit_code == 0);
-    // Repeating it is harmless.
-    CHECK(Run({node, "evacuate", "poa-b", evacuation}).exit_code == 0);
+    CHECK(Contains(RunCommand({node, "evacuations"}).output, "none"));
+    CHECK(RunCommand({node, "evacuate", "poa-b", "evacuate-poa-b-beside-x"})
+              .exit_code == 1);
+    CHECK(RunCommand({node, "evacuate", "nowhere"}).exit_code == 1);
+    CHECK(RunCommand({node, "evacuate", "poa-b", evacuation}).exit_code == 0);
+    // The command is idempotent.
+    CHECK(RunCommand({node, "evacuate", "poa-b", evacuation}).exit_code == 0);
     CHECK(fleet.WaitReady(a, 1, 1));
-    CHECK(Contains(Run({node, "evacuations"}).output, "poa-b"));
-    CHECK(Run({node, "readmit", "poa-b", plan_of("readmit")}).exit_code == 0);
+    CHECK(Contains(RunCommand({node, "evacuations"}).output, "poa-b"));
+    CHECK(
+        RunCommand({node, "readmit", "poa-b", plan_of("readmit")}).exit_code ==
+        0);
     CHECK(fleet.WaitReady(a, 2, 1));
   }
-  SECTION("the store is down: not confirmed, and when to come back") {
+  SECTION("the store is down: the plan is not confirmed, with a retry delay") {
     folder.Declare("dossie", 11);
     const std::string second = plan();
     fleet.CommandStore(R"({"mode": "down"})");
-    const Ran ran = Run({node, "confirm", second, folder.path()});
-    CHECK(ran.exit_code == 1);
-    CHECK(Contains(ran.output, "try again in"));
+    const CommandResult result =
+        RunCommand({node, "confirm", second, folder.path()});
+    CHECK(result.exit_code == 1);
+    CHECK(Contains(result.output, "try again in"));
   }
-  SECTION("without the token nothing is told") {
+  SECTION("a wrong token is rejected") {
     setenv("CHESTNUTPORT_TOKEN", "wrong", 1);
-    const Ran ran = Run({node, "status"});
-    CHECK(ran.exit_code == 1);
-    CHECK(Contains(ran.output, "unauthorized"));
+    const CommandResult result = RunCommand({node, "status"});
+    CHECK(result.exit_code == 1);
+    CHECK(Contains(result.output, "unauthorized"));
   }
 }
 
--- a/tests/auto/operators/confirm_test.cc
+++ b/tests/auto/operators/confirm_test.cc
@@ -1,4 +1,5 @@
-// Plan and confirm between real nodes, with a store in trouble.
+// Guards against lost or duplicate confirmations when operators race, or when
+// the store is down, loses responses or is restored from a backup.
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
 
@@ -9,9 +10,9 @@
 namespace {
 
 using nlohmann::json;
-using Texts = std::map<std::string, std::string>;
+using DeclarationTexts = std::map<std::string, std::string>;
 
-Texts Slots(int slots) {
+DeclarationTexts DeclareSlots(int slots) {
   return {{"dossie",
            "[service]\nname = dossie\n[match]\npath_prefix = /dossie/\n"
            "[servers]\nslots = " +
@@ -20,8 +21,8 @@
 
 class Operators {
  public:
-  // Makes a plan through `vm`; what a confirmation of it sends.
-  std::string Plan(const Vm& vm, const Texts& texts) const {
+  // Makes a plan on the node of `vm` and returns the body of its confirmation.
+  std::string Plan(const Vm& vm, const DeclarationTexts& texts) const {
     const json wanted = {{"services", texts}};
     const auto answer = fleet.Operate(vm, "POST", "/v1/plan", wanted.dump());
     json plan = json::parse(answer.body);
@@ -40,12 +41,12 @@
     return status.is_object() ? status.value("revision", uint64_t{0}) : 0;
   }
 
-  bool WaitRevision(const Vm& vm, uint64_t revision) const {
+  bool WaitForRevision(const Vm& vm, uint64_t revision) const {
     return WaitUntil([&] { return Revision(vm) >= revision; });
   }
 
-  // Waits until each knows the other.
-  bool WaitMet(const Vm& vm, size_t members) const {
+  // Waits until the node of `vm` knows `members` members.
+  bool WaitForMembers(const Vm& vm, size_t members) const {
     return WaitUntil([&] {
       const auto answer = fleet.Operate(vm, "GET", "/v1/status", "");
       return json::parse(answer.body)["members"].size() == members;
@@ -59,14 +60,14 @@
   Operators operators;
   Vm& a = operators.fleet.AddVm("a", "poa-a", "");
   Vm& b = operators.fleet.AddVm("b", "poa-b", "");
-  REQUIRE(operators.WaitMet(a, 2));
-  REQUIRE(operators.WaitMet(b, 2));
-  REQUIRE(operators.fleet.Confirm(a, Slots(10)) == 1);
-  REQUIRE(operators.WaitRevision(b, 1));
-
-  SECTION("race: one wins, the other is told what changed, by whom and when") {
-    const std::string first = operators.Plan(a, Slots(11));
-    const std::string second = operators.Plan(b, Slots(12));
+  REQUIRE(operators.WaitForMembers(a, 2));
+  REQUIRE(operators.WaitForMembers(b, 2));
+  REQUIRE(operators.fleet.Confirm(a, DeclareSlots(10)) == 1);
+  REQUIRE(operators.WaitForRevision(b, 1));
+
+  SECTION("race: one succeeds, the other gets the changes, by whom and when") {
+    const std::string first = operators.Plan(a, DeclareSlots(11));
+    const std::string second = operators.Plan(b, DeclareSlots(12));
     CHECK(operators.Confirm(a, first).first == 200);
     const auto [status, answer] = operators.Confirm(b, second);
     CHECK(status == 409);
@@ -75,12 +76,12 @@
     CHECK(answer["changed_since"][0]["by"] == "alice");
     CHECK(answer["changed_since"][0]["revision"] == 2);
     CHECK_FALSE(answer["changed_since"][0]["at"].get<std::string>().empty());
-    REQUIRE(operators.WaitRevision(b, 2));
+    REQUIRE(operators.WaitForRevision(b, 2));
     CHECK(operators.Confirm(b, second).second["changed_since"][0]["after"] ==
           "11");
 
-    SECTION("and confirming once more is harmless, also after others") {
-      REQUIRE(operators.fleet.Confirm(b, Slots(13)) == 3);
+    SECTION("confirming again is idempotent, also after later confirmations") {
+      REQUIRE(operators.fleet.Confirm(b, DeclareSlots(13)) == 3);
       const auto again = operators.Confirm(b, first);
       CHECK(again.first == 200);
       CHECK(again.second["again"] == true);
@@ -89,18 +90,19 @@
     }
   }
 
-  SECTION("a store whose answers are lost: the truth is found by reading") {
+  SECTION("the store loses responses: the outcome is found by reading") {
     operators.fleet.CommandStore(R"({"mode": "lose-answers"})");
     const auto [status, answer] =
-        operators.Confirm(a, operators.Plan(a, Slots(11)));
-    // The documents' answers are lost too, and each is found by writing again.
+        operators.Confirm(a, operators.Plan(a, DeclareSlots(11)));
+    // The responses to document writes are lost too; each outcome is found by
+    // writing again.
     CHECK(status == 200);
     CHECK(answer["revision"] == 2);
-    CHECK(operators.WaitRevision(b, 2));
+    CHECK(operators.WaitForRevision(b, 2));
   }
 
-  SECTION("a store that is down: not confirmed, and when to come back") {
-    const std::string plan = operators.Plan(a, Slots(11));
+  SECTION("the store is down: the plan is not confirmed, with a retry delay") {
+    const std::string plan = operators.Plan(a, DeclareSlots(11));
     operators.fleet.CommandStore(R"({"mode": "down"})");
     const auto [status, answer] = operators.Confirm(a, plan);
     CHECK(status == 503);
@@ -111,14 +113,14 @@
     CHECK(operators.Confirm(a, plan).first == 200);
   }
 
-  SECTION("a store brought back from an older copy gets the newer one") {
+  SECTION("a store restored from an older copy gets the newer revision") {
     operators.fleet.CommandStore(R"({"copy": "save"})");
-    REQUIRE(operators.fleet.Confirm(a, Slots(11)) == 2);
-    REQUIRE(operators.WaitRevision(b, 2));
+    REQUIRE(operators.fleet.Confirm(a, DeclareSlots(11)) == 2);
+    REQUIRE(operators.WaitForRevision(b, 2));
     operators.fleet.CommandStore(R"({"copy": "restore"})");
-    REQUIRE(operators.fleet.Confirm(b, Slots(12)) == 3);
+    REQUIRE(operators.fleet.Confirm(b, DeclareSlots(12)) == 3);
     Vm& c = operators.fleet.AddVm("c", "poa-a", "");
-    CHECK(operators.WaitRevision(c, 3));
+    CHECK(operators.WaitForRevision(c, 3));
     const auto history = operators.fleet.Operate(c, "GET", "/v1/history", "");
     CHECK(json::parse(history.body)["confirmations"].size() == 3);
   }
