--- a/src/libs/node/adapters.cc
+++ b/src/libs/node/adapters.cc
@@ -2,19 +2,19 @@
 
 #include "evacuation_store/native_evacuation_format.h"
 #include "ingress/own_caller_protocol.h"
-#include "node/own_configuration_form.h"
-#include "server/own_server_protocol.h"
+#include "node/native_configuration_format.h"
+#include "server/native_server_protocol.h"
 #include "store/etcd_protocol.h"
 
 namespace chestnutport::node {
 
-Adapters OwnAdapters(const std::string& fleet) {
+Adapters NativeAdapters(const std::string& fleet) {
   return {
       .callers = ingress::AnyCallerProtocol::Of(ingress::OwnCallerProtocol()),
-      .servers = server::AnyServerProtocol::Of(server::OwnServerProtocol()),
+      .servers = server::AnyServerProtocol::Of(server::NativeServerProtocol()),
       .store = store::AnyStoreProtocol::Of(store::EtcdProtocol()),
       .configuration = fleet_configuration::AnyConfigurationFormat::Of(
-          OwnConfigurationForm(fleet)),
+          NativeConfigurationFormat(fleet)),
       .evacuation = evacuation_store::AnyEvacuationFormat::Of(
           evacuation_store::NativeEvacuationFormat(fleet))};
 }
--- a/src/libs/operators/operator_api.h
+++ b/src/libs/operators/operator_api.h
@@ -1,4 +1,5 @@
-// The operators' API, as HTTP and JSON: who may call, and which call it is.
+// The operators' API over HTTP and JSON: authenticates requests and routes them
+// to their handlers.
 #ifndef OPERATORS_OPERATOR_API_H_
 #define OPERATORS_OPERATOR_API_H_
 
@@ -6,23 +7,25 @@
 
 #include "net/http_message.h"
 #include "net/reply.h"
-#include "operators/operated_node.h"
+#include "operators/managed_node.h"
 #include "settings/node_settings.h"
 
 namespace chestnutport::operators {
 
 class OperatorApi {
  public:
-  // Both must outlive the API.
-  OperatorApi(OperatedNode node, const settings::NodeSettings& settings);
+  // The objects that `node` refers to, and `settings`, must outlive this
+  // object.
+  OperatorApi(ManagedNode node, const settings::NodeSettings& settings);
 
   void OnRequest(const net::HttpRequest& request, net::Reply reply);
 
  private:
-  // The name of the operator whose token is shown; empty: nobody's.
+  // Returns the name of the operator whose token the request carries, or an
+  // empty string if no token matches.
   std::string Authenticate(const net::HttpRequest& request) const;
 
-  const OperatedNode node_;
+  const ManagedNode node_;
   const settings::NodeSettings& settings_;
 };
 
--- a/src/libs/operators/operator_confirm.cc
+++ b/src/libs/operators/operator_confirm.cc
@@ -6,8 +6,8 @@
 #include "absl/time/time.h"
 #include "configuration/change.h"
 #include "configuration/plan.h"
-#include "operators/operator_answer.h"
-#include "operators/operator_calls.h"
+#include "operators/operator_handlers.h"
+#include "operators/operator_response.h"
 
 namespace chestnutport::operators {
 namespace {
@@ -18,13 +18,14 @@
 using configuration::Finish;
 using nlohmann::json;
 
-std::string TimeOfDay() {
+std::string CurrentUtcTime() {
   return absl::FormatTime("%Y-%m-%dT%H:%M:%E3SZ", absl::Now(),
                           absl::UTCTimeZone());
 }
 
-// Read before the declarations, which have been parsed once by then.
-std::string PlanOf(const std::string& body) {
+// Returns the plan id, or an empty string if it is missing. The body has
+// already been parsed once for the declarations.
+std::string ParsePlanId(const std::string& body) {
   const json object = json::parse(body, nullptr, false);
   if (!object.is_object() || !object.contains("plan") ||
       !object["plan"].is_string()) {
@@ -33,8 +34,9 @@
   return object["plan"].get<std::string>();
 }
 
-// What was confirmed after the plan's base: per key, by whom and when.
-json ChangedSince(const OperatedNode& node,
+// Returns the changes confirmed since the plan's base revision: for each key,
+// by whom and when.
+json ChangedSince(const ManagedNode& node,
                   const Finish& finish,
                   uint64_t base_revision) {
   json changes = json::array();
@@ -55,10 +57,10 @@
   return changes;
 }
 
-void SendVerdict(net::Reply& reply,
-                 const OperatedNode& node,
-                 const Finish& finish,
-                 uint64_t base_revision) {
+void SendConfirmResult(net::Reply& reply,
+                       const ManagedNode& node,
+                       const Finish& finish,
+                       uint64_t base_revision) {
   switch (finish.outcome) {
     case ConfirmOutcome::kConfirmed:
       SendJson(reply, {{"revision", finish.revision}, {"again", false}});
@@ -83,27 +85,28 @@
 
 }  // namespace
 
-void AnswerConfirm(const OperatedNode& node,
+void HandleConfirm(const ManagedNode& node,
                    const net::HttpRequest& request,
-                   const std::string& who,
+                   const std::string& operator_name,
                    net::Reply reply) {
   auto texts = ReadDeclarations(request, reply);
   if (!texts)
     return;
-  const std::string plan_id = PlanOf(request.body);
+  const std::string plan_id = ParsePlanId(request.body);
   const auto base_revision = configuration::BaseRevision(plan_id);
   if (!base_revision ||
       configuration::PlanId(*base_revision, *texts) != plan_id) {
     SendError(reply, ErrorKind::kPlanMismatch);
     return;
   }
-  const ConfirmRequest confirm{*base_revision, plan_id, who, TimeOfDay(),
-                               *std::move(texts)};
-  // A std::function must be copyable; the reply is not.
-  auto held = std::make_shared<net::Reply>(std::move(reply));
+  const ConfirmRequest confirm{*base_revision, plan_id, operator_name,
+                               CurrentUtcTime(), *std::move(texts)};
+  // std::function requires a copyable callable; net::Reply is move-only.
+  auto shared_reply = std::make_shared<net::Reply>(std::move(reply));
   node.configuration.Confirm(
-      confirm, [held, &node, base = *base_revision](const Finish& finish) {
-        SendVerdict(*held, node, finish, base);
+      confirm,
+      [shared_reply, &node, base = *base_revision](const Finish& finish) {
+        SendConfirmResult(*shared_reply, node, finish, base);
       });
 }
 
--- a/src/libs/operators/operator_answer.h
+++ b/src/libs/operators/operator_response.h
@@ -1,6 +1,6 @@
-// Answers of the operators' API.
-#ifndef OPERATORS_OPERATOR_ANSWER_H_
-#define OPERATORS_OPERATOR_ANSWER_H_
+// Responses of the operators' API.
+#ifndef OPERATORS_OPERATOR_RESPONSE_H_
+#define OPERATORS_OPERATOR_RESPONSE_H_
 
 #include <nlohmann/json.hpp>
 
@@ -11,11 +11,11 @@
 
 void SendJson(net::Reply& reply, const nlohmann::json& body);
 
-// Adds the error's name, outcome, text and when to come back to `details`.
+// Sends `details` with the error's name, outcome, text and retry delay added.
 void SendError(net::Reply& reply,
                base::ErrorKind kind,
                nlohmann::json details = nlohmann::json::object());
 
 }  // namespace chestnutport::operators
 
-#endif  // OPERATORS_OPERATOR_ANSWER_H_
+#endif  // OPERATORS_OPERATOR_RESPONSE_H_
--- a/tests/auto/fleet_configuration/configuration_reader_test.cc
+++ b/tests/auto/fleet_configuration/configuration_reader_test.cc
@@ -13,7 +13,7 @@
 #include "configuration/reader_selection.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
-#include "node/own_configuration_form.h"
+#include "node/native_configuration_format.h"
 #include "platform/hosted_store_form.h"
 
 namespace chestnutport::fleet_configuration {
@@ -101,10 +101,10 @@
                 {store_.address()},
                 kTimeout,
                 store::AnyStoreProtocol::Of(platform::HostedStoreForm())),
-        configuration_(
-            client_,
-            AnyConfigurationFormat::Of(node::OwnConfigurationForm("fleet")),
-            "fleet"),
+        configuration_(client_,
+                       AnyConfigurationFormat::Of(
+                           node::NativeConfigurationFormat("fleet")),
+                       "fleet"),
         reader_(
             loop_,
             configuration_,
