--- a/src/libs/calls/latency_timing.h
+++ b/src/libs/calls/adaptive_timeouts.h
@@ -1,6 +1,6 @@
 // The waits of a service's calls, worked out from the latencies seen.
-#ifndef CALLS_LATENCY_TIMING_H_
-#define CALLS_LATENCY_TIMING_H_
+#ifndef CALLS_ADAPTIVE_TIMEOUTS_H_
+#define CALLS_ADAPTIVE_TIMEOUTS_H_
 
 #include "base/time.h"
 #include "calls/call_policy.h"
@@ -8,14 +8,14 @@
 
 namespace chestnutport::calls {
 
-class LatencyTiming {
+class AdaptiveTimeouts {
  public:
-  LatencyTiming();
+  AdaptiveTimeouts();
 
   // Of an attempt that the server answered.
   void OnAnswer(base::Duration latency, base::Instant now);
   // Of a question about an attempt.
-  void OnSettled(base::Duration round_trip, base::Instant now);
+  void OnStatusReply(base::Duration round_trip, base::Instant now);
 
   // Sets the waits in `policy`; hedges are for the share `hedge_budget` of the
   // calls that is slowest.
@@ -24,15 +24,15 @@
  private:
   void Refresh();
 
-  LatencyQuantiles answers_;
-  LatencyQuantiles questions_;
-  int until_refresh_ = 0;
+  LatencyQuantiles answer_latencies_;
+  LatencyQuantiles query_latencies_;
+  int calls_until_refresh_ = 0;
   double hedge_budget_ = 0;
   base::Duration hedge_delay_{};
-  base::Duration silence_limit_;
+  base::Duration status_query_delay_;
   base::Duration cancel_lead_;
 };
 
 }  // namespace chestnutport::calls
 
-#endif  // CALLS_LATENCY_TIMING_H_
+#endif  // CALLS_ADAPTIVE_TIMEOUTS_H_
--- a/src/libs/calls/attempt_end.h
+++ b/src/libs/calls/attempt_end.h
@@ -8,12 +8,12 @@
 namespace chestnutport::calls {
 
 enum class AttemptVerdict {
-  kAnswered,  // The server's whole answer came.
-  kFailed,    // The same, with a status of 500 or more.
-  kRefused,   // The other node says that it did not run and will not.
-  kNotSent,   // No connection was opened.
-  kLost,      // It may have run.
-  kEnded,     // The other node's error is the answer, whatever it says.
+  kAnswered,    // The server's whole answer came.
+  kFailed,      // The same, with a status of 500 or more.
+  kRefused,     // The other node says that it did not run and will not.
+  kNotSent,     // No connection was opened.
+  kLost,        // It may have run.
+  kFinalError,  // The other node's error is the answer, whatever it says.
 };
 
 struct AttemptEnd {
--- a/src/libs/calls/settle_answer.h
+++ b/src/libs/calls/attempt_status.h
@@ -1,10 +1,10 @@
 // What the admission side says of an attempt that it is asked about.
-#ifndef CALLS_SETTLE_ANSWER_H_
-#define CALLS_SETTLE_ANSWER_H_
+#ifndef CALLS_ATTEMPT_STATUS_H_
+#define CALLS_ATTEMPT_STATUS_H_
 
 namespace chestnutport::calls {
 
-enum class SettleAnswer {
+enum class AttemptStatus {
   kNeverRuns,    // It did not run and will not, also if it arrives later.
   kQueued,       // It waits for the server.
   kRunning,      // It was handed to the server.
@@ -15,4 +15,4 @@
 
 }  // namespace chestnutport::calls
 
-#endif  // CALLS_SETTLE_ANSWER_H_
+#endif  // CALLS_ATTEMPT_STATUS_H_
--- a/src/libs/calls/call.cc
+++ b/src/libs/calls/call.cc
@@ -10,7 +10,7 @@
 
 constexpr int kNoAttempt = -1;
 // At most this part of the time to the deadline is given to cancelling.
-constexpr int kCancelLeadPart = 4;
+constexpr int kCancelLeadDivisor = 4;
 
 // A busy server's refusal says that others may be busy too.
 bool IsBackPressure(ErrorKind refusal) {
@@ -27,18 +27,18 @@
            const CallBudgets& budgets)
     : policy_(policy),
       deadline_(deadline),
-      give_up_at_(deadline -
-                  std::min<base::Duration>(policy.cancel_lead,
-                                           (deadline - now) / kCancelLeadPart)),
+      cancel_at_(deadline - std::min<base::Duration>(
+                                policy.cancel_lead,
+                                (deadline - now) / kCancelLeadDivisor)),
       hedge_at_(Instant::max()),
       budgets_(budgets) {
   budgets_.service.OnCall();
   budgets_.node.OnCall();
   budgets_.hedges.OnCall();
   budgets_.refusals.OnCall();
-  budgets_.questions.OnCall();
+  budgets_.status_queries.OnCall();
   const bool may_hedge = policy.is_repeatable && !policy.is_retried_above &&
-                         !policy.is_bound_to_server;
+                         !policy.is_pinned_to_server;
   if (may_hedge && policy.hedge_delay > base::Duration::zero())
     hedge_at_ = now + policy.hedge_delay;
 }
@@ -55,8 +55,8 @@
     return steps;
   Attempt& unsent = attempts_[attempt];
   unsent.phase = Phase::kNotRun;
-  unsent.next_question = now;
-  Conclude(steps);
+  unsent.next_query_at = now;
+  AnswerIfResolved(steps);
   return steps;
 }
 
@@ -74,15 +74,15 @@
     return steps;
   switch (end.verdict) {
     case AttemptVerdict::kAnswered:
-      steps.push_back({Step::kRelay, attempt});
+      steps.push_back({Step::kRelayAnswer, attempt});
       End(steps, attempt);
       break;
     case AttemptVerdict::kFailed:
       attempts_[attempt].phase = Phase::kFailed;
-      if (!IsInFlight() && MayRepeat(now) && TryTakeRepeat())
+      if (!IsInFlight() && MayRetry(now) && TryTakeRetry())
         Send(steps, now);
       else
-        Conclude(steps);
+        AnswerIfResolved(steps);
       break;
     case AttemptVerdict::kRefused:
       OnNotRun(steps, attempt, end.error, end.retry_after, now);
@@ -93,8 +93,9 @@
     case AttemptVerdict::kLost:
       OnLost(steps, attempt, end.error, now);
       break;
-    case AttemptVerdict::kEnded:
-      steps.push_back({Step::kAnswer, attempt, end.error, end.retry_after});
+    case AttemptVerdict::kFinalError:
+      steps.push_back(
+          {Step::kAnswerError, attempt, end.error, end.retry_after});
       End(steps, attempt);
       break;
   }
@@ -106,19 +107,19 @@
   if (is_over_)
     return steps;
   if (now >= deadline_) {
-    AnswerFinally(steps);
+    SendFinalAnswer(steps);
     return steps;
   }
-  if (now >= give_up_at_ && !gave_up_)
-    GiveUp(steps);
+  if (now >= cancel_at_ && !has_cancelled_)
+    CancelInFlight(steps);
   if (now >= hedge_at_)
     Hedge(steps, now);
   for (int attempt = 0; attempt < attempts(); ++attempt)
-    AskIfSilent(steps, attempt, now);
+    QueryIfOverdue(steps, attempt, now);
   return steps;
 }
 
-NextSteps Call::OnCallerGone(Instant /*now*/) {
+NextSteps Call::OnCallerDisconnected(Instant /*now*/) {
   NextSteps steps;
   if (!is_over_)
     End(steps, kNoAttempt);
@@ -126,20 +127,20 @@
 }
 
 Instant Call::next_timer() const {
-  if (gave_up_)
+  if (has_cancelled_)
     return deadline_;
-  Instant next = std::min(give_up_at_, hedge_at_);
+  Instant next = std::min(cancel_at_, hedge_at_);
   for (const Attempt& attempt : attempts_) {
-    if (attempt.phase == Phase::kInFlight && !attempt.question_open)
-      next = std::min(next, attempt.next_question);
+    if (attempt.phase == Phase::kInFlight && !attempt.is_query_pending)
+      next = std::min(next, attempt.next_query_at);
   }
   return next;
 }
 
-bool Call::IsWaiting() const {
+bool Call::HasOpenAttempts() const {
   return std::ranges::any_of(attempts_, [](const Attempt& attempt) {
     return attempt.phase == Phase::kInFlight ||
-           attempt.phase == Phase::kSettling;
+           attempt.phase == Phase::kResolving;
   });
 }
 
@@ -156,49 +157,50 @@
 }
 
 bool Call::MaySend(Instant now) const {
-  return !policy_.is_bound_to_server && !gave_up_ && now < give_up_at_ &&
-         attempts() < policy_.most_sends && Reached() < policy_.most_servers;
+  return !policy_.is_pinned_to_server && !has_cancelled_ && now < cancel_at_ &&
+         attempts() < policy_.most_sends &&
+         ServersReached() < policy_.most_servers;
 }
 
-int Call::Reached() const {
+int Call::ServersReached() const {
   const auto reached = std::ranges::count_if(
       attempts_,
       [](const Attempt& attempt) { return attempt.phase != Phase::kNotRun; });
-  return static_cast<int>(reached) + refused_by_server_;
+  return static_cast<int>(reached) + server_refusals_;
 }
 
-bool Call::MayRepeat(Instant now) const {
+bool Call::MayRetry(Instant now) const {
   return policy_.is_repeatable && !policy_.is_retried_above && MaySend(now);
 }
 
-bool Call::MaySendElsewhere(ErrorKind refusal, Instant now) {
+bool Call::MayResendUnrun(ErrorKind refusal, Instant now) {
   // No other server would take that either.
   if (refusal == ErrorKind::kRequestQuarantined)
     return false;
   if (!MaySend(now) || IsInFlight() || (!policy_.is_repeatable && MayHaveRun()))
     return false;
-  if (refusal == ErrorKind::kServerShed && policy_.server_refusals_count)
-    return TryTakeRepeat();
+  if (refusal == ErrorKind::kServerShed && policy_.counts_server_refusals)
+    return TryTakeRetry();
   return !IsBackPressure(refusal) || budgets_.refusals.TryTake();
 }
 
-bool Call::TryTakeRepeat() {
+bool Call::TryTakeRetry() {
   return budgets_.service.TryTake() && budgets_.node.TryTake();
 }
 
 void Call::Send(NextSteps& steps, Instant now) {
   Attempt attempt;
-  attempt.question_interval = policy_.silence_limit;
-  attempt.next_question = now + policy_.silence_limit;
+  attempt.query_interval = policy_.status_query_delay;
+  attempt.next_query_at = now + policy_.status_query_delay;
   attempts_.push_back(attempt);
   steps.push_back({Step::kSend, attempts() - 1});
 }
 
 void Call::Cancel(NextSteps& steps, int attempt) {
-  if (attempts_[attempt].cancel_asked)
+  if (attempts_[attempt].is_cancel_sent)
     return;
-  attempts_[attempt].cancel_asked = true;
-  attempts_[attempt].question_open = true;
+  attempts_[attempt].is_cancel_sent = true;
+  attempts_[attempt].is_query_pending = true;
   steps.push_back({Step::kCancel, attempt});
 }
 
@@ -208,34 +210,34 @@
                     base::Duration retry_after,
                     Instant now) {
   attempts_[attempt].phase = Phase::kNotRun;
-  if (error == ErrorKind::kServerShed && policy_.server_refusals_count)
-    ++refused_by_server_;
+  if (error == ErrorKind::kServerShed && policy_.counts_server_refusals)
+    ++server_refusals_;
   last_refusal_ = error;
   retry_after_ = retry_after;
   // A second try that was handed back before it ran looks for another server,
   // whatever the first does.
   const bool moves_on =
       error == ErrorKind::kServerSlow && policy_.is_repeatable && MaySend(now);
-  if (moves_on || MaySendElsewhere(error, now))
+  if (moves_on || MayResendUnrun(error, now))
     Send(steps, now);
   else
-    Conclude(steps);
+    AnswerIfResolved(steps);
 }
 
 void Call::OnLost(NextSteps& steps, int attempt, ErrorKind error, Instant now) {
   Attempt& lost = attempts_[attempt];
   lost_error_ = error;
-  const bool is_settled = lost.cancel_asked && !lost.question_open;
-  lost.phase = is_settled ? Phase::kMayHaveRun : Phase::kSettling;
+  const bool is_settled = lost.is_cancel_sent && !lost.is_query_pending;
+  lost.phase = is_settled ? Phase::kMayHaveRun : Phase::kResolving;
   Cancel(steps, attempt);
-  if (!IsInFlight() && MayRepeat(now) && TryTakeRepeat())
+  if (!IsInFlight() && MayRetry(now) && TryTakeRetry())
     Send(steps, now);
   else
-    Conclude(steps);
+    AnswerIfResolved(steps);
 }
 
-void Call::GiveUp(NextSteps& steps) {
-  gave_up_ = true;
+void Call::CancelInFlight(NextSteps& steps) {
+  has_cancelled_ = true;
   for (int attempt = 0; attempt < attempts(); ++attempt) {
     if (attempts_[attempt].phase == Phase::kInFlight)
       Cancel(steps, attempt);
@@ -244,23 +246,23 @@
 
 void Call::Hedge(NextSteps& steps, Instant now) {
   hedge_at_ = Instant::max();
-  if (Reached() != 1 || !IsInFlight() || !MayRepeat(now))
+  if (ServersReached() != 1 || !IsInFlight() || !MayRetry(now))
     return;
-  if (budgets_.hedges.TryTake() && TryTakeRepeat())
+  if (budgets_.hedges.TryTake() && TryTakeRetry())
     Send(steps, now);
 }
 
-void Call::Conclude(NextSteps& steps) {
-  if (!IsWaiting())
-    AnswerFinally(steps);
+void Call::AnswerIfResolved(NextSteps& steps) {
+  if (!HasOpenAttempts())
+    SendFinalAnswer(steps);
 }
 
-void Call::AnswerFinally(NextSteps& steps) {
+void Call::SendFinalAnswer(NextSteps& steps) {
   const auto failed =
       std::ranges::find(attempts_, Phase::kFailed, &Attempt::phase);
   if (failed != attempts_.end()) {
     const int attempt = static_cast<int>(failed - attempts_.begin());
-    steps.push_back({Step::kRelay, attempt});
+    steps.push_back({Step::kRelayAnswer, attempt});
     End(steps, attempt);
     return;
   }
@@ -269,17 +271,17 @@
   base::Duration retry_after = base::AnswerTo(error).retry_after;
   if (!may_have_run && retry_after_ > base::Duration::zero())
     retry_after = retry_after_;
-  steps.push_back({Step::kAnswer, kNoAttempt, error, retry_after});
+  steps.push_back({Step::kAnswerError, kNoAttempt, error, retry_after});
   End(steps, kNoAttempt);
 }
 
-void Call::End(NextSteps& steps, int but_attempt) {
+void Call::End(NextSteps& steps, int kept_attempt) {
   is_over_ = true;
   for (int attempt = 0; attempt < attempts(); ++attempt) {
-    if (attempt == but_attempt)
+    if (attempt == kept_attempt)
       continue;
     if (attempts_[attempt].phase == Phase::kInFlight &&
-        !attempts_[attempt].cancel_asked) {
+        !attempts_[attempt].is_cancel_sent) {
       steps.push_back({Step::kAbandon, attempt});
     }
   }
--- a/src/libs/calls/call.h
+++ b/src/libs/calls/call.h
@@ -12,9 +12,9 @@
 #include "base/error_kind.h"
 #include "base/time.h"
 #include "calls/attempt_end.h"
+#include "calls/attempt_status.h"
 #include "calls/call_policy.h"
 #include "calls/next_step.h"
-#include "calls/settle_answer.h"
 
 namespace chestnutport::calls {
 
@@ -35,14 +35,14 @@
                           base::Duration retry_after,
                           base::Instant now);
   NextSteps OnAttemptEnd(int attempt, const AttemptEnd& end, base::Instant now);
-  // The answer to kAsk or kCancel; `cancelled` says to which.
-  NextSteps OnSettled(int attempt,
-                      SettleAnswer answer,
-                      bool cancelled,
-                      base::Instant now);
+  // The answer to kQueryStatus or kCancel; `cancelled` says to which.
+  NextSteps OnStatusReply(int attempt,
+                          AttemptStatus answer,
+                          bool cancelled,
+                          base::Instant now);
   // Call at or after `next_timer()`.
   NextSteps OnTimer(base::Instant now);
-  NextSteps OnCallerGone(base::Instant now);
+  NextSteps OnCallerDisconnected(base::Instant now);
 
   base::Instant next_timer() const;
   base::Instant deadline() const { return deadline_; }
@@ -53,7 +53,7 @@
  private:
   enum class Phase {
     kInFlight,    // Its end has not come.
-    kSettling,    // Its connection is gone; the other node is being asked.
+    kResolving,   // Its connection is gone; the other node is being asked.
     kNotRun,      // Known not to have run, and not to run.
     kMayHaveRun,  // Nothing more will be heard of it.
     kFailed,      // The server answered with a status of 500 or more.
@@ -61,23 +61,23 @@
 
   struct Attempt {
     Phase phase = Phase::kInFlight;
-    base::Instant next_question;
-    base::Duration question_interval{};
-    bool question_open = false;
-    bool cancel_asked = false;
-    bool seen_finished = false;
+    base::Instant next_query_at;
+    base::Duration query_interval{};
+    bool is_query_pending = false;
+    bool is_cancel_sent = false;
+    bool was_reported_finished = false;
   };
 
   bool IsInFlight() const;
   // Servers that were handed the request, or may have been.
-  int Reached() const;
+  int ServersReached() const;
   // An answer, or one to a question, may still come.
-  bool IsWaiting() const;
+  bool HasOpenAttempts() const;
   bool MayHaveRun() const;
   bool MaySend(base::Instant now) const;
-  bool MayRepeat(base::Instant now) const;
-  bool MaySendElsewhere(base::ErrorKind refusal, base::Instant now);
-  bool TryTakeRepeat();
+  bool MayRetry(base::Instant now) const;
+  bool MayResendUnrun(base::ErrorKind refusal, base::Instant now);
+  bool TryTakeRetry();
   void Send(NextSteps& steps, base::Instant now);
   void Cancel(NextSteps& steps, int attempt);
   void OnNotRun(NextSteps& steps,
@@ -89,30 +89,30 @@
               int attempt,
               base::ErrorKind error,
               base::Instant now);
-  void OnState(NextSteps& steps,
-               int attempt,
-               SettleAnswer answer,
-               base::Instant now);
-  void OnCancelAnswer(NextSteps& steps,
-                      int attempt,
-                      SettleAnswer answer,
-                      base::Instant now);
-  void GiveUp(NextSteps& steps);
+  void OnQueryReply(NextSteps& steps,
+                    int attempt,
+                    AttemptStatus answer,
+                    base::Instant now);
+  void OnCancelReply(NextSteps& steps,
+                     int attempt,
+                     AttemptStatus answer,
+                     base::Instant now);
+  void CancelInFlight(NextSteps& steps);
   void Hedge(NextSteps& steps, base::Instant now);
-  void AskIfSilent(NextSteps& steps, int attempt, base::Instant now);
+  void QueryIfOverdue(NextSteps& steps, int attempt, base::Instant now);
   // Gives the final answer unless an attempt may still bring one.
-  void Conclude(NextSteps& steps);
-  void AnswerFinally(NextSteps& steps);
-  void End(NextSteps& steps, int but_attempt);
+  void AnswerIfResolved(NextSteps& steps);
+  void SendFinalAnswer(NextSteps& steps);
+  void End(NextSteps& steps, int kept_attempt);
 
   CallPolicy policy_;
   base::Instant deadline_;
-  base::Instant give_up_at_;
+  base::Instant cancel_at_;
   base::Instant hedge_at_;  // The clock's end: no hedge.
   CallBudgets budgets_;
   absl::InlinedVector<Attempt, 4> attempts_;
-  int refused_by_server_ = 0;
-  bool gave_up_ = false;
+  int server_refusals_ = 0;
+  bool has_cancelled_ = false;
   bool is_over_ = false;
   base::ErrorKind lost_error_ = base::ErrorKind::kDeadlinePassed;
   base::ErrorKind last_refusal_ = base::ErrorKind::kNoServer;
--- /dev/null
+++ b/src/libs/calls/call_status_queries.cc
@@ -0,0 +1,106 @@
+// What a call does to find out what became of an attempt without an answer.
+#include <algorithm>
+
+#include "calls/call.h"
+
+namespace chestnutport::calls {
+namespace {
+
+using base::ErrorKind;
+using base::Instant;
+
+constexpr std::chrono::seconds kMaxQueryInterval(1);
+// An answer may still be on its way when its server has finished.
+constexpr std::chrono::milliseconds kFinishedGrace(250);
+
+}  // namespace
+
+NextSteps Call::OnStatusReply(int attempt,
+                              AttemptStatus answer,
+                              bool cancelled,
+                              Instant now) {
+  NextSteps steps;
+  if (is_over_)
+    return steps;
+  const Phase phase = attempts_[attempt].phase;
+  if (phase != Phase::kInFlight && phase != Phase::kResolving)
+    return steps;
+  if (cancelled)
+    OnCancelReply(steps, attempt, answer, now);
+  else
+    OnQueryReply(steps, attempt, answer, now);
+  return steps;
+}
+
+void Call::OnQueryReply(NextSteps& steps,
+                        int attempt,
+                        AttemptStatus answer,
+                        Instant now) {
+  Attempt& queried = attempts_[attempt];
+  if (queried.is_cancel_sent)
+    return;  // The answer to the later question decides.
+  queried.is_query_pending = false;
+  queried.query_interval =
+      std::min<base::Duration>(queried.query_interval * 2, kMaxQueryInterval);
+  queried.next_query_at = now + queried.query_interval;
+  switch (answer) {
+    case AttemptStatus::kNeverRuns:
+      steps.push_back({Step::kCloseConnection, attempt});
+      OnNotRun(steps, attempt, ErrorKind::kSilentConnection, {}, now);
+      return;
+    case AttemptStatus::kUnknownHere:
+      Cancel(steps, attempt);
+      return;
+    case AttemptStatus::kFinished:
+      if (queried.was_reported_finished) {
+        steps.push_back({Step::kCloseConnection, attempt});
+        OnLost(steps, attempt, ErrorKind::kSilentConnection, now);
+        return;
+      }
+      queried.was_reported_finished = true;
+      queried.next_query_at = now + kFinishedGrace;
+      return;
+    case AttemptStatus::kNoAnswer:
+      if (attempts_.size() == 1 && MayRetry(now) && TryTakeRetry())
+        Send(steps, now);
+      return;
+    case AttemptStatus::kQueued:
+    case AttemptStatus::kRunning:
+      return;
+  }
+}
+
+void Call::OnCancelReply(NextSteps& steps,
+                         int attempt,
+                         AttemptStatus answer,
+                         Instant now) {
+  Attempt& queried = attempts_[attempt];
+  queried.is_query_pending = false;
+  if (answer == AttemptStatus::kNeverRuns) {
+    // A connection that is only slow brings the refusal, and is kept.
+    if (queried.phase == Phase::kInFlight && !has_cancelled_)
+      steps.push_back({Step::kCloseConnection, attempt});
+    OnNotRun(steps, attempt, ErrorKind::kCancelled, {}, now);
+    return;
+  }
+  if (queried.phase == Phase::kInFlight)
+    return;  // Its answer may still come before the deadline.
+  queried.phase = Phase::kMayHaveRun;
+  AnswerIfResolved(steps);
+}
+
+void Call::QueryIfOverdue(NextSteps& steps, int attempt, Instant now) {
+  Attempt& overdue = attempts_[attempt];
+  if (has_cancelled_ || overdue.phase != Phase::kInFlight ||
+      overdue.is_query_pending || now < overdue.next_query_at) {
+    return;
+  }
+  if (!budgets_.status_queries.TryTake()) {
+    overdue.next_query_at = now + overdue.query_interval;
+    return;
+  }
+  overdue.is_query_pending = true;
+  steps.push_back({Step::kQueryStatus, attempt});
+}
+
+}  // namespace chestnutport::calls
--- a/src/libs/calls/fleet_retries.cc
+++ b/src/libs/calls/fleet_retry_limit.cc
@@ -1,4 +1,4 @@
-#include "calls/fleet_retries.h"
+#include "calls/fleet_retry_limit.h"
 
 #include <algorithm>
 
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-NodeRetryLimit PartOfFleet(const FleetRetryLimit& limit, size_t nodes) {
+NodeRetryLimit PerNodeRetryLimit(const FleetRetryLimit& limit, size_t nodes) {
   const auto parts = static_cast<double>(std::max<size_t>(1, nodes));
   // A token must be able to be saved up at all, or a small fleet's burst that
   // is spread over many nodes would be lost.
--- a/src/libs/calls/fleet_retries.h
+++ b/src/libs/calls/fleet_retry_limit.h
@@ -1,6 +1,6 @@
 // One node's part of what a fleet may spend on second attempts.
-#ifndef CALLS_FLEET_RETRIES_H_
-#define CALLS_FLEET_RETRIES_H_
+#ifndef CALLS_FLEET_RETRY_LIMIT_H_
+#define CALLS_FLEET_RETRY_LIMIT_H_
 
 #include <cstddef>
 
@@ -23,8 +23,8 @@
 // The part of one node among `nodes`, so that all parts together keep the
 // bound without the nodes speaking of it. `nodes` is to be the most that were
 // seen lately: a node that is cut off from the others must not take theirs.
-NodeRetryLimit PartOfFleet(const FleetRetryLimit& limit, size_t nodes);
+NodeRetryLimit PerNodeRetryLimit(const FleetRetryLimit& limit, size_t nodes);
 
 }  // namespace chestnutport::calls
 
-#endif  // CALLS_FLEET_RETRIES_H_
+#endif  // CALLS_FLEET_RETRY_LIMIT_H_
--- a/src/libs/calls/latency_quantiles.h
+++ b/src/libs/calls/latency_quantiles.h
@@ -38,9 +38,9 @@
 
   base::Duration window_;
   base::Instant window_start_{};
-  Counts present_;
+  Counts current_;
   Counts previous_;
-  uint32_t present_size_ = 0;
+  uint32_t current_size_ = 0;
   uint32_t previous_size_ = 0;
 };
 
--- a/src/libs/calls/move_limits.h
+++ b/src/libs/calls/move_limits.h
@@ -7,7 +7,7 @@
 
 struct MoveLimits {
   // While servers are slow or fail.
-  int if_poor = 0;
+  int if_degraded = 0;
   // While servers are full as well. Fewer, because all of them may be: then
   // each move is one more exchange for nothing, on links and processors that
   // are busy too.
@@ -18,7 +18,7 @@
 // seven in a row are is one in 1,500 at most. A move takes two to five
 // milliseconds. Where most servers are full, the queue of the second is as good
 // as that of the sixth, and the time to the target is not spent on the way.
-inline constexpr MoveLimits kUsualMoves{.if_poor = 7, .if_full = 1};
+inline constexpr MoveLimits kDefaultMoveLimits{.if_degraded = 7, .if_full = 1};
 
 }  // namespace chestnutport::calls
 
--- a/src/libs/calls/nested_target.cc
+++ b/src/libs/calls/nested_target.cc
@@ -5,12 +5,12 @@
 namespace chestnutport::calls {
 namespace {
 
-constexpr int kPartForCall = 2;  // One in so many of what is left.
+constexpr int kRemainingDivisor = 2;  // One in so many of what is left.
 
 }  // namespace
 
 base::Duration NestedTarget(base::Duration target, base::Duration remaining) {
-  return std::max(target, remaining / kPartForCall);
+  return std::max(target, remaining / kRemainingDivisor);
 }
 
 }  // namespace chestnutport::calls
--- a/src/libs/calls/next_step.h
+++ b/src/libs/calls/next_step.h
@@ -9,20 +9,20 @@
 namespace chestnutport::calls {
 
 enum class Step {
-  kSend,     // Send attempt `attempt` to a server that was not tried yet.
-  kAsk,      // Ask for the attempt's state, on a fresh connection.
-  kCancel,   // The same, and bar it from starting.
-  kDrop,     // Close the attempt's connection; its end is not reported.
-  kAbandon,  // Cancel it; neither its end nor the answer is reported.
-  kRelay,    // Give the caller the server's answer to `attempt`.
-  kAnswer,   // Give the caller the error in `error`.
+  kSend,         // Send attempt `attempt` to a server that was not tried yet.
+  kQueryStatus,  // Ask for the attempt's state, on a fresh connection.
+  kCancel,       // The same, and bar it from starting.
+  kCloseConnection,  // Close the attempt's connection; its end is not reported.
+  kAbandon,          // Cancel it; neither its end nor the answer is reported.
+  kRelayAnswer,      // Give the caller the server's answer to `attempt`.
+  kAnswerError,      // Give the caller the error in `error`.
 };
 
 struct NextStep {
-  Step step = Step::kAnswer;
+  Step step = Step::kAnswerError;
   int attempt = 0;  // Counted from zero within the call.
-  base::ErrorKind error = base::ErrorKind::kInternal;  // Of kAnswer.
-  base::Duration retry_after{};                        // Of kAnswer.
+  base::ErrorKind error = base::ErrorKind::kInternal;  // Of kAnswerError.
+  base::Duration retry_after{};                        // Of kAnswerError.
 };
 
 // To be carried out in this order.
--- a/src/libs/ingress/attempt_canceller.cc
+++ b/src/libs/ingress/attempt_canceller.cc
@@ -28,8 +28,8 @@
                            int asked) {
   settler_.Settle(
       server, attempt, question, kTimeout,
-      [this, server, attempt, question, asked](calls::SettleAnswer answer) {
-        if (answer != calls::SettleAnswer::kNoAnswer)
+      [this, server, attempt, question, asked](calls::AttemptStatus answer) {
+        if (answer != calls::AttemptStatus::kNoAnswer)
           return;
         sender_.Drop(attempt);
         if (asked + 1 < kMostQuestions)
--- a/src/libs/ingress/attempt_sender.cc
+++ b/src/libs/ingress/attempt_sender.cc
@@ -58,7 +58,7 @@
   }
   const ErrorKind error = head.error.value_or(ErrorKind::kConnectionLost);
   if (IsFinal(error))
-    return {AttemptVerdict::kEnded, error, head.retry_after};
+    return {AttemptVerdict::kFinalError, error, head.retry_after};
   if (head.outcome == base::Outcome::kNotRun)
     return {AttemptVerdict::kRefused, error, head.retry_after};
   if (head.outcome != base::Outcome::kAnswered)
@@ -74,7 +74,7 @@
     case AttemptVerdict::kFailed:
       return routing::AttemptVerdict::kFailed;
     case AttemptVerdict::kRefused:
-    case AttemptVerdict::kEnded:
+    case AttemptVerdict::kFinalError:
       return routing::AttemptVerdict::kRefused;
     case AttemptVerdict::kNotSent:
     case AttemptVerdict::kLost:
--- a/src/libs/ingress/attempt_settler.cc
+++ b/src/libs/ingress/attempt_settler.cc
@@ -10,36 +10,36 @@
 namespace chestnutport::ingress {
 namespace {
 
-using calls::SettleAnswer;
+using calls::AttemptStatus;
 
 struct State {
   const char* name;
-  SettleAnswer answer;
+  AttemptStatus answer;
 };
 
 // The names used between nodes.
-constexpr State kStates[] = {{"never-runs", SettleAnswer::kNeverRuns},
-                             {"queued", SettleAnswer::kQueued},
-                             {"running", SettleAnswer::kRunning},
-                             {"finished", SettleAnswer::kFinished},
-                             {"unknown-here", SettleAnswer::kUnknownHere}};
+constexpr State kStates[] = {{"never-runs", AttemptStatus::kNeverRuns},
+                             {"queued", AttemptStatus::kQueued},
+                             {"running", AttemptStatus::kRunning},
+                             {"finished", AttemptStatus::kFinished},
+                             {"unknown-here", AttemptStatus::kUnknownHere}};
 
-SettleAnswer ReadAnswer(const net::TransferResult& result) {
+AttemptStatus ReadAnswer(const net::TransferResult& result) {
   std::string text;
   std::string error;
   if (result.end != net::TransferEnd::kComplete ||
       !rpc::DecodeAnswer(traffic::kSettleMethod, result.answer.body, &text,
                          &error)) {
-    return SettleAnswer::kNoAnswer;
+    return AttemptStatus::kNoAnswer;
   }
   const auto answer = nlohmann::json::parse(text, nullptr, false);
   if (!answer.is_object() || !answer.contains("state"))
-    return SettleAnswer::kNoAnswer;
+    return AttemptStatus::kNoAnswer;
   for (const State& state : kStates) {
     if (answer["state"] == state.name)
       return state.answer;
   }
-  return SettleAnswer::kNoAnswer;
+  return AttemptStatus::kNoAnswer;
 }
 
 }  // namespace
@@ -60,7 +60,7 @@
   net::HttpRequest request{.method = "POST", .target = traffic::kSettlePath};
   head.AppendTo(request.headers, keys_.current);
   const nlohmann::json params = {{"attempt", attempt.ToString()},
-                                 {"cancel", question != Question::kAsk},
+                                 {"cancel", question != Question::kQueryStatus},
                                  {"stop_running", question == Question::kStop}};
   request.body = rpc::EncodeCall(traffic::kSettleMethod, params.dump());
   client_.Send(
--- a/src/libs/ingress/attempt_settler.h
+++ b/src/libs/ingress/attempt_settler.h
@@ -6,7 +6,7 @@
 #include <functional>
 
 #include "base/attempt_id.h"
-#include "calls/settle_answer.h"
+#include "calls/attempt_status.h"
 #include "control_calls/peer_keys.h"
 #include "net/http_client.h"
 #include "routing/server_candidate.h"
@@ -14,14 +14,14 @@
 namespace chestnutport::ingress {
 
 enum class Question {
-  kAsk,     // Changes nothing.
-  kCancel,  // An attempt that has not started never will.
-  kStop,    // The same, and one that runs is cut off.
+  kQueryStatus,  // Changes nothing.
+  kCancel,       // An attempt that has not started never will.
+  kStop,         // The same, and one that runs is cut off.
 };
 
 class AttemptSettler {
  public:
-  using Handler = std::function<void(calls::SettleAnswer)>;
+  using Handler = std::function<void(calls::AttemptStatus)>;
 
   // A client of its own, so that a question never waits behind, nor travels
   // on, a connection that went silent.
--- a/src/libs/ingress/call_log.cc
+++ b/src/libs/ingress/call_log.cc
@@ -28,7 +28,7 @@
       return "not-sent";
     case calls::AttemptVerdict::kLost:
       return "lost";
-    case calls::AttemptVerdict::kEnded:
+    case calls::AttemptVerdict::kFinalError:
       return "ended";
   }
   return "unknown";
--- a/src/libs/ingress/ingress.cc
+++ b/src/libs/ingress/ingress.cc
@@ -154,7 +154,7 @@
   call->reply.OnGone([this, id] {
     Tell(id, [this](ActiveCall& gone) {
       LogCallerGone(gone, loop_.now());
-      return gone.decision.OnCallerGone(loop_.now());
+      return gone.decision.OnCallerDisconnected(loop_.now());
     });
   });
   const calls::NextSteps steps = call->decision.Start(now);
@@ -202,19 +202,19 @@
       for (const auto& next : SendOrSkip(call, step.attempt))
         steps.push_back(next);
       return;
-    case calls::Step::kAsk:
+    case calls::Step::kQueryStatus:
       Settle(call, step.attempt, false);
       return;
     case calls::Step::kCancel:
       Settle(call, step.attempt, true);
       return;
-    case calls::Step::kDrop:
+    case calls::Step::kCloseConnection:
       sender_.Drop(call.attempts[step.attempt].id);
       return;
     case calls::Step::kAbandon:
       Abandon(call, step.attempt);
       return;
-    case calls::Step::kRelay:
+    case calls::Step::kRelayAnswer:
       Record(call, std::nullopt, call.attempts[step.attempt].answer);
       LogCallEnd(call,
                  {.status = call.attempts[step.attempt].answer.status,
@@ -224,7 +224,7 @@
                     ForCaller(std::move(call.attempts[step.attempt].answer)),
                     std::move(call.reply));
       return;
-    case calls::Step::kAnswer:
+    case calls::Step::kAnswerError:
       AnswerError(call, step);
       return;
   }
--- a/src/libs/ingress/ingress_answers.cc
+++ b/src/libs/ingress/ingress_answers.cc
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "base/error_kind.h"
-#include "calls/return_time.h"
+#include "calls/retry_delay.h"
 #include "ingress/call_log.h"
 #include "ingress/ingress.h"
 #include "wire/header_names.h"
@@ -91,7 +91,7 @@
   const bool is_held = error == base::ErrorKind::kRequestQuarantined ||
                        error == base::ErrorKind::kRequestStopped;
   if (protocol_.tells_return_time && !is_held) {
-    retry_after = calls::ReturnTime(
+    retry_after = calls::RetryDelay(
         retry_after, call.decision.deadline() - loop_.now(), random_);
   }
   net::HttpAnswer answer =
--- a/src/libs/ingress/ingress_attempts.cc
+++ b/src/libs/ingress/ingress_attempts.cc
@@ -179,7 +179,7 @@
   }
   const bool has_others = call.service->chooser().size() > call.tried.size();
   head.usual_strain = call.service->chooser().UsualStrain();
-  head.may_move = has_others && attempt < request.moves.if_poor;
+  head.may_move = has_others && attempt < request.moves.if_degraded;
   head.may_move_if_full = has_others && attempt < request.moves.if_full;
   head.remaining = std::max<base::Duration>(
       remaining, wire::PeerRequestHead::kLeastRemaining);
@@ -192,16 +192,16 @@
   const auto timeout = std::clamp<base::Duration>(
       call.decision.deadline() - asked_at, kLeastSettleTimeout, kSettleTimeout);
   settler_.Settle(sent.server, sent.id,
-                  cancel ? Question::kCancel : Question::kAsk, timeout,
+                  cancel ? Question::kCancel : Question::kQueryStatus, timeout,
                   [this, id = call.id, attempt, cancel,
-                   asked_at](calls::SettleAnswer answer) {
+                   asked_at](calls::AttemptStatus answer) {
                     Tell(id, [&](ActiveCall& asked) {
-                      if (answer != calls::SettleAnswer::kNoAnswer) {
-                        asked.service->timing().OnSettled(
+                      if (answer != calls::AttemptStatus::kNoAnswer) {
+                        asked.service->timing().OnStatusReply(
                             loop_.now() - asked_at, loop_.now());
                       }
-                      return asked.decision.OnSettled(attempt, answer, cancel,
-                                                      loop_.now());
+                      return asked.decision.OnStatusReply(attempt, answer,
+                                                          cancel, loop_.now());
                     });
                   });
 }
--- a/src/libs/ingress/service_traffic.cc
+++ b/src/libs/ingress/service_traffic.cc
@@ -45,15 +45,15 @@
   calls::CallPolicy policy;
   policy.is_repeatable = request.is_repeatable;
   policy.is_retried_above = request.retry_level.has_value();
-  policy.is_bound_to_server = !request.idempotency_key.empty();
+  policy.is_pinned_to_server = !request.idempotency_key.empty();
   timing_.Apply(hedge_budget_, policy);
   // Half of the target is left to the second try; the quantile would come too
   // late where the work varies more than the target allows.
   if (hedge_budget_ > 0 && request.target_latency > base::Duration::zero())
     policy.hedge_delay = request.target_latency / kHedgePart;
   policy.most_servers = request.most_servers;
-  policy.most_sends = request.most_servers + request.moves.if_poor;
-  policy.server_refusals_count = has_fleet_limit_;
+  policy.most_sends = request.most_servers + request.moves.if_degraded;
+  policy.counts_server_refusals = has_fleet_limit_;
   return policy;
 }
 
--- a/src/libs/ingress/service_traffic.h
+++ b/src/libs/ingress/service_traffic.h
@@ -2,9 +2,9 @@
 #ifndef INGRESS_SERVICE_TRAFFIC_H_
 #define INGRESS_SERVICE_TRAFFIC_H_
 
+#include "calls/adaptive_timeouts.h"
 #include "calls/call_policy.h"
-#include "calls/fleet_retries.h"
-#include "calls/latency_timing.h"
+#include "calls/fleet_retry_limit.h"
 #include "calls/retry_budget.h"
 #include "declarations/service_declaration.h"
 #include "ingress/caller_request.h"
@@ -29,7 +29,7 @@
   calls::CallBudgets Budgets();
 
   routing::ServerChooser& chooser() { return chooser_; }
-  calls::LatencyTiming& timing() { return timing_; }
+  calls::AdaptiveTimeouts& timing() { return timing_; }
 
  private:
   routing::ServerChooser chooser_;
@@ -38,7 +38,7 @@
   calls::RetryBudget hedges_;
   calls::RetryBudget refusals_;
   calls::RetryBudget questions_;
-  calls::LatencyTiming timing_;
+  calls::AdaptiveTimeouts timing_;
   double hedge_budget_ = 0;
   bool has_fleet_limit_ = false;
 };
--- a/src/libs/ingress/traffic_snapshot.h
+++ b/src/libs/ingress/traffic_snapshot.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "calls/fleet_retries.h"
+#include "calls/fleet_retry_limit.h"
 #include "declarations/configuration.h"
 #include "routing/server_candidate.h"
 
--- a/src/libs/node/control_publishing.cc
+++ b/src/libs/node/control_publishing.cc
@@ -92,10 +92,10 @@
     // The most that were seen: a node that is cut off from the others must not
     // take their part of what all may spend.
     most_members_ = std::max(most_members_, members_.size());
-    snapshot.retries =
-        calls::PartOfFleet({settings_.fleet_retry_share,
-                            static_cast<double>(settings_.fleet_retry_burst)},
-                           most_members_);
+    snapshot.retries = calls::PerNodeRetryLimit(
+        {settings_.fleet_retry_share,
+         static_cast<double>(settings_.fleet_retry_burst)},
+        most_members_);
   }
   outputs_.publish_snapshot(std::move(snapshot));
 }
--- a/tests/auto/admission/body_placement_test.cc
+++ b/tests/auto/admission/body_placement_test.cc
@@ -124,7 +124,8 @@
 
   bool HandsBack(size_t index, const Request& request) const {
     const bool is_full = !gates_[index].admission.HasRoom(now_);
-    return (IsSlow(index) && request.moves < calls::kUsualMoves.if_poor) ||
+    return (IsSlow(index) &&
+            request.moves < calls::kDefaultMoveLimits.if_degraded) ||
            (is_full && request.moves < moves_if_full_);
   }
 
@@ -209,7 +210,7 @@
 }
 
 TEST_CASE("uploads and lookups in a rush behind narrow links") {
-  const int moves = calls::kUsualMoves.if_full;
+  const int moves = calls::kDefaultMoveLimits.if_full;
   const Outcome sent = PlayAll(false, moves);
   const Outcome asked = PlayAll(true, moves);
   INFO("sent at once: lookups " << sent.lookups_in_time << ", bytes "
--- a/tests/auto/admission/cold_fleet_test.cc
+++ b/tests/auto/admission/cold_fleet_test.cc
@@ -55,7 +55,7 @@
       const bool is_poor = gate.IsPoor(now, node.usual());
       if (const auto strain = gate.KnownStrain(now))
         node.OnReport(*strain);
-      if (move >= calls::kUsualMoves.if_poor || !is_poor)
+      if (move >= calls::kDefaultMoveLimits.if_degraded || !is_poor)
         return;
       ++moves_;
     }
--- a/tests/auto/admission/pace_placement_test.cc
+++ b/tests/auto/admission/pace_placement_test.cc
@@ -134,7 +134,7 @@
 
     SECTION("a probe before a start, and more moves, hardly any, for less") {
       const Way way{{0.2, milliseconds(250), milliseconds(15)},
-                    calls::kUsualMoves.if_poor};
+                    calls::kDefaultMoveLimits.if_degraded};
       const Outcome looked = Fleet(way).Play();
       CHECK(looked.started_on_slow < 0.01);
       CHECK(looked.started_on_slow < steady.started_on_slow / 5);
--- a/tests/auto/calls/call_figures_test.cc
+++ b/tests/auto/calls/call_figures_test.cc
@@ -5,7 +5,7 @@
 
 #include "base/random.h"
 #include "call_fixture.h"
-#include "calls/latency_timing.h"
+#include "calls/adaptive_timeouts.h"
 
 namespace chestnutport::test {
 namespace {
@@ -73,7 +73,7 @@
 
 TEST_CASE("a silent attempt is asked about in time") {
   const int slow_ms = GENERATE(2, 10, 50, 200, 2000);
-  calls::LatencyTiming timing;
+  calls::AdaptiveTimeouts timing;
   for (int i = 0; i < 1000; ++i)
     timing.OnAnswer(milliseconds(i % 50 == 0 ? slow_ms : 1), kStart);
   Budgets budgets;
--- a/tests/auto/calls/call_fixture.h
+++ b/tests/auto/calls/call_fixture.h
@@ -13,18 +13,18 @@
   calls::RetryBudget node{0.1, 5};
   calls::RetryBudget hedges{0.02, 5};
   calls::RetryBudget refusals{0.1, 5};
-  calls::RetryBudget questions{0.1, 5};
+  calls::RetryBudget status_queries{0.1, 5};
 
   calls::CallBudgets All() {
-    return {service, node, hedges, refusals, questions};
+    return {service, node, hedges, refusals, status_queries};
   }
 };
 
 inline constexpr base::Instant kStart = base::Instant(std::chrono::hours(1));
 
 // Whether `steps` are exactly `expected`, in that order.
-inline bool Are(const calls::NextSteps& steps,
-                std::initializer_list<calls::Step> expected) {
+inline bool StepsAre(const calls::NextSteps& steps,
+                     std::initializer_list<calls::Step> expected) {
   return std::ranges::equal(steps, expected, {}, &calls::NextStep::step);
 }
 
--- a/tests/auto/calls/call_properties_test.cc
+++ b/tests/auto/calls/call_properties_test.cc
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 
 #include "base/random.h"
-#include "hostile_world.h"
+#include "call_simulation.h"
 
 namespace chestnutport::test {
 namespace {
@@ -14,7 +14,7 @@
 EventKind KindOf(int drawn) {
   if (drawn < kKinds)
     return static_cast<EventKind>(drawn);
-  return drawn % 4 == 0 ? EventKind::kTimePasses : EventKind::kDeliver;
+  return drawn % 4 == 0 ? EventKind::kAdvanceTime : EventKind::kDeliver;
 }
 
 std::vector<Event> DrawEvents(base::Random& random) {
@@ -28,11 +28,11 @@
 
 // How many of the drawn lists of events show what `found` looks for.
 template <typename Found>
-int CountFound(Defect defect, Found found) {
+int CountRunsWith(Defect defect, Found found) {
   base::Random random(7);
   int count = 0;
   for (int i = 0; i < 10000; ++i)
-    count += found(HostileWorld(defect).Run(DrawEvents(random))) ? 1 : 0;
+    count += found(CallSimulation(defect).Run(DrawEvents(random))) ? 1 : 0;
   return count;
 }
 
@@ -44,45 +44,48 @@
         },
         rc::gen::inRange(0, 2 * kKinds), rc::gen::arbitrary<uint32_t>());
     const auto events = *rc::gen::container<std::vector<Event>>(event);
-    const Findings findings = HostileWorld(Defect::kNone).Run(events);
-    RC_ASSERT_FALSE(findings.ran_twice);
-    RC_ASSERT_FALSE(findings.false_not_run);
-    RC_ASSERT_FALSE(findings.not_one_answer);
-    RC_ASSERT_FALSE(findings.another_ones_answer);
+    const Violations violations = CallSimulation(Defect::kNone).Run(events);
+    RC_ASSERT_FALSE(violations.ran_twice);
+    RC_ASSERT_FALSE(violations.false_not_run);
+    RC_ASSERT_FALSE(violations.wrong_answer_count);
+    RC_ASSERT_FALSE(violations.misrouted_answer);
   });
 
   SECTION("over long drawn lists") {
-    CHECK(CountFound(Defect::kNone, std::mem_fn(&Findings::Any)) == 0);
+    CHECK(CountRunsWith(Defect::kNone, std::mem_fn(&Violations::Any)) == 0);
   }
 }
 
 TEST_CASE("each promise is seen to be broken where the code is") {
   SECTION("a bar that is not kept") {
-    CHECK(CountFound(Defect::kBarNotKept,
-                     [](const Findings& f) { return f.ran_twice; }) > 0);
-    CHECK(CountFound(Defect::kBarNotKept,
-                     [](const Findings& f) { return f.false_not_run; }) > 0);
+    CHECK(CountRunsWith(Defect::kCancelForgotten,
+                        [](const Violations& f) { return f.ran_twice; }) > 0);
+    CHECK(CountRunsWith(Defect::kCancelForgotten, [](const Violations& f) {
+            return f.false_not_run;
+          }) > 0);
   }
   SECTION("a replaced node taken for one that never ran it") {
-    CHECK(CountFound(Defect::kStaleMeansNotRun, [](const Findings& f) {
-            return f.ran_twice || f.false_not_run;
-          }) > 0);
+    CHECK(
+        CountRunsWith(Defect::kStaleTargetMeansNotRun, [](const Violations& f) {
+          return f.ran_twice || f.false_not_run;
+        }) > 0);
   }
   SECTION("a lost connection taken for one never opened") {
-    CHECK(CountFound(Defect::kLostMeansNotSent,
-                     [](const Findings& f) { return f.ran_twice; }) > 0);
+    CHECK(CountRunsWith(Defect::kLostMeansNotOpened,
+                        [](const Violations& f) { return f.ran_twice; }) > 0);
   }
   SECTION("an answer that came by another connection") {
-    CHECK(CountFound(Defect::kCopyAnswers,
-                     [](const Findings& f) { return f.ran_twice; }) > 0);
+    CHECK(CountRunsWith(Defect::kAcceptsDuplicates,
+                        [](const Violations& f) { return f.ran_twice; }) > 0);
   }
   SECTION("a second answer at the deadline") {
-    CHECK(CountFound(Defect::kAnswersAtDeadline,
-                     [](const Findings& f) { return f.not_one_answer; }) > 0);
+    CHECK(CountRunsWith(Defect::kAnswersAtDeadline, [](const Violations& f) {
+            return f.wrong_answer_count;
+          }) > 0);
   }
   SECTION("answers matched by their place in the link") {
-    CHECK(CountFound(Defect::kAnswersMixed, [](const Findings& f) {
-            return f.another_ones_answer;
+    CHECK(CountRunsWith(Defect::kAnswersMisrouted, [](const Violations& f) {
+            return f.misrouted_answer;
           }) > 0);
   }
 }
--- a/tests/auto/calls/hostile_world.cc
+++ b/tests/auto/calls/call_simulation.cc
@@ -1,4 +1,4 @@
-#include "hostile_world.h"
+#include "call_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,8 +8,8 @@
 
 using admission::AttemptState;
 using base::ErrorKind;
+using calls::AttemptStatus;
 using calls::AttemptVerdict;
-using calls::SettleAnswer;
 using calls::Step;
 
 constexpr size_t kNodes = 3;
@@ -27,48 +27,50 @@
   return std::make_unique<admission::AdmissionController>(options);
 }
 
-SettleAnswer ToAnswer(AttemptState state) {
+AttemptStatus ToAnswer(AttemptState state) {
   switch (state) {
     case AttemptState::kNeverRuns:
-      return SettleAnswer::kNeverRuns;
+      return AttemptStatus::kNeverRuns;
     case AttemptState::kQueued:
-      return SettleAnswer::kQueued;
+      return AttemptStatus::kQueued;
     case AttemptState::kRunning:
-      return SettleAnswer::kRunning;
+      return AttemptStatus::kRunning;
     case AttemptState::kFinished:
-      return SettleAnswer::kFinished;
+      return AttemptStatus::kFinished;
     case AttemptState::kUnknown:
       break;
   }
-  return SettleAnswer::kUnknownHere;
+  return AttemptStatus::kUnknownHere;
 }
 
 }  // namespace
 
-HostileWorld::HostileWorld(Defect defect) : defect_(defect), nodes_(kNodes) {
+CallSimulation::CallSimulation(Defect defect)
+    : defect_(defect), nodes_(kNodes) {
   for (Node& node : nodes_)
     node.admission = NewAdmission();
 }
 
-Findings HostileWorld::Run(const std::vector<Event>& events) {
+Violations CallSimulation::Run(const std::vector<Event>& events) {
   for (const Event& event : events)
-    Happen(event);
+    ApplyEvent(event);
   for (Node& node : nodes_)
     node.is_frozen = false;
-  PassTime(kDeadline + kTick);
+  AdvanceTime(kDeadline + kTick);
   while (!link_.empty())
     Deliver(*TakeMessage(0));
-  Findings findings;
+  Violations violations;
   for (const Request& request : requests_) {
-    findings.ran_twice |= !request.is_repeatable && request.runs > 1;
-    findings.false_not_run |= request.told_not_run && request.runs > 0;
-    findings.not_one_answer |= request.answers != (request.is_gone ? 0 : 1);
+    violations.ran_twice |= !request.is_repeatable && request.runs > 1;
+    violations.false_not_run |= request.reported_not_run && request.runs > 0;
+    violations.wrong_answer_count |=
+        request.answers != (request.has_caller_gone ? 0 : 1);
   }
-  findings.another_ones_answer = mixed_;
-  return findings;
+  violations.misrouted_answer = is_misrouted_;
+  return violations;
 }
 
-void HostileWorld::Happen(const Event& event) {
+void CallSimulation::ApplyEvent(const Event& event) {
   Node& node = nodes_[event.pick % kNodes];
   switch (event.kind) {
     case EventKind::kArrive:
@@ -78,24 +80,24 @@
       if (const auto message = TakeMessage(event.pick))
         Deliver(*message);
       return;
-    case EventKind::kLose:
+    case EventKind::kDropMessage:
       TakeMessage(event.pick);
       return;
     case EventKind::kDuplicate:
       if (link_.empty())
         return;
       link_.push_back(link_[event.pick % link_.size()]);
-      link_.back().is_copy = true;
+      link_.back().is_duplicate = true;
       return;
-    case EventKind::kBreakConnection: {
+    case EventKind::kLoseConnection: {
       if (requests_.empty())
         return;
       const size_t at = event.pick % requests_.size();
       const int last = requests_[at].call->attempts() - 1;
-      const auto verdict = defect_ == Defect::kLostMeansNotSent
+      const auto verdict = defect_ == Defect::kLostMeansNotOpened
                                ? AttemptVerdict::kNotSent
                                : AttemptVerdict::kLost;
-      Follow(at, requests_[at].call->OnAttemptEnd(last, {verdict}, now_));
+      RunSteps(at, requests_[at].call->OnAttemptEnd(last, {verdict}, now_));
       return;
     }
     case EventKind::kFinish:
@@ -110,123 +112,125 @@
     case EventKind::kReplace:
       Replace(node);
       return;
-    case EventKind::kCallerGoes: {
+    case EventKind::kCallerDisconnects: {
       if (requests_.empty())
         return;
       const size_t at = event.pick % requests_.size();
       if (requests_[at].call->IsOver())
         return;
-      requests_[at].is_gone = true;
-      Follow(at, requests_[at].call->OnCallerGone(now_));
+      requests_[at].has_caller_gone = true;
+      RunSteps(at, requests_[at].call->OnCallerDisconnected(now_));
       return;
     }
-    case EventKind::kTimePasses:
+    case EventKind::kAdvanceTime:
     case EventKind::kCount:
-      PassTime(kTick);
+      AdvanceTime(kTick);
       return;
   }
 }
 
-void HostileWorld::Arrive(bool is_repeatable) {
+void CallSimulation::Arrive(bool is_repeatable) {
   calls::CallPolicy policy;
   policy.is_repeatable = is_repeatable;
   policy.hedge_delay = milliseconds(30);
-  policy.silence_limit = milliseconds(25);
+  policy.status_query_delay = milliseconds(25);
   Request request;
   request.is_repeatable = is_repeatable;
   request.call = std::make_unique<calls::Call>(policy, now_, now_ + kDeadline,
                                                budgets_.All());
   requests_.push_back(std::move(request));
-  Follow(requests_.size() - 1, requests_.back().call->Start(now_));
+  RunSteps(requests_.size() - 1, requests_.back().call->Start(now_));
 }
 
-void HostileWorld::Follow(size_t at, const calls::NextSteps& steps) {
+void CallSimulation::RunSteps(size_t at, const calls::NextSteps& steps) {
   Request& request = requests_[at];
   for (const calls::NextStep& step : steps) {
     switch (step.step) {
       case Step::kSend: {
         const size_t node = (at + step.attempt) % kNodes;
-        request.sent_to.emplace_back(node, nodes_[node].life);
-        link_.push_back(
-            {MessageKind::kAttempt, at, step.attempt, node, nodes_[node].life});
+        request.sent_to.emplace_back(node, nodes_[node].incarnation);
+        link_.push_back({MessageKind::kAttempt, at, step.attempt, node,
+                         nodes_[node].incarnation});
         break;
       }
-      case Step::kAsk:
-        Ask(at, step.attempt, false);
+      case Step::kQueryStatus:
+        SendStatusQuery(at, step.attempt, false);
         break;
       case Step::kCancel:
       case Step::kAbandon:
-        Ask(at, step.attempt, true);
+        SendStatusQuery(at, step.attempt, true);
         break;
-      case Step::kDrop:
+      case Step::kCloseConnection:
         break;
-      case Step::kRelay:
+      case Step::kRelayAnswer:
         ++request.answers;
         break;
-      case Step::kAnswer:
+      case Step::kAnswerError:
         ++request.answers;
-        request.told_not_run =
+        request.reported_not_run =
             base::AnswerTo(step.error).outcome == base::Outcome::kNotRun;
         break;
     }
   }
 }
 
-void HostileWorld::Ask(size_t at, int attempt, bool cancel) {
-  const auto& [node, life] = requests_[at].sent_to[attempt];
-  link_.push_back({MessageKind::kQuestion, at, attempt, node, life, cancel});
+void CallSimulation::SendStatusQuery(size_t at, int attempt, bool cancel) {
+  const auto& [node, incarnation] = requests_[at].sent_to[attempt];
+  link_.push_back(
+      {MessageKind::kStatusQuery, at, attempt, node, incarnation, cancel});
 }
 
-void HostileWorld::Deliver(const Message& message) {
+void CallSimulation::Deliver(const Message& message) {
   Request& request = requests_[message.call];
   switch (message.kind) {
     case MessageKind::kAttempt:
-    case MessageKind::kQuestion:
+    case MessageKind::kStatusQuery:
       // What reaches a frozen node waits there, and a copy is made of what has
       // been received: it does not overtake what it is a copy of.
-      if (nodes_[message.node].is_frozen || IsOvertaking(message))
+      if (nodes_[message.node].is_frozen || OvertakesOriginal(message))
         link_.push_back(message);
       else if (message.kind == MessageKind::kAttempt)
         DeliverAttempt(message);
       else
-        DeliverQuestion(message);
+        DeliverStatusQuery(message);
       return;
-    case MessageKind::kAnswer: {
-      if (message.is_copy && defect_ != Defect::kCopyAnswers)
+    case MessageKind::kAttemptReply: {
+      if (message.is_duplicate && defect_ != Defect::kAcceptsDuplicates)
         return;
       size_t to = message.call;
-      if (defect_ == Defect::kAnswersMixed && link_.size() % 7 == 0)
+      if (defect_ == Defect::kAnswersMisrouted && link_.size() % 7 == 0)
         to = (to + 1) % requests_.size();
       const bool is_taken = !requests_[to].call->IsOver();
       if (message.attempt >= requests_[to].call->attempts())
         return;
-      Follow(to, requests_[to].call->OnAttemptEnd(message.attempt, message.end,
-                                                  now_));
-      mixed_ |= is_taken && to != message.call && requests_[to].call->IsOver();
+      RunSteps(to, requests_[to].call->OnAttemptEnd(message.attempt,
+                                                    message.end, now_));
+      is_misrouted_ |=
+          is_taken && to != message.call && requests_[to].call->IsOver();
       return;
     }
-    case MessageKind::kState:
-      Follow(message.call,
-             request.call->OnSettled(message.attempt, message.state,
-                                     message.cancel, now_));
+    case MessageKind::kStatusReply:
+      RunSteps(message.call,
+               request.call->OnStatusReply(message.attempt, message.state,
+                                           message.cancel, now_));
       return;
   }
 }
 
-bool HostileWorld::IsOvertaking(const Message& message) const {
-  return message.is_copy &&
+bool CallSimulation::OvertakesOriginal(const Message& message) const {
+  return message.is_duplicate &&
          std::ranges::any_of(link_, [&](const Message& other) {
-           return !other.is_copy && other.kind == message.kind &&
+           return !other.is_duplicate && other.kind == message.kind &&
                   other.call == message.call &&
                   other.attempt == message.attempt;
          });
 }
 
-void HostileWorld::DeliverAttempt(const Message& message) {
+void CallSimulation::DeliverAttempt(const Message& message) {
   Node& node = nodes_[message.node];
   Message answer = message;
-  answer.kind = MessageKind::kAnswer;
-  if (node.life != message.life) {
+  answer.kind = MessageKind::kAttemptReply;
+  if (node.incarnation != message.incarnation) {
     answer.end = {AttemptVerdict::kRefused, ErrorKind::kStaleTarget};
     link_.push_back(answer);
     return;
@@ -242,29 +246,30 @@
   link_.push_back(answer);
 }
 
-void HostileWorld::DeliverQuestion(const Message& message) {
+void CallSimulation::DeliverStatusQuery(const Message& message) {
   Node& node = nodes_[message.node];
   const base::AttemptId id = IdOf(message.call, message.attempt);
   Message answer = message;
-  answer.kind = MessageKind::kState;
-  if (node.life != message.life) {
-    if (defect_ == Defect::kStaleMeansNotRun)
-      answer.state = SettleAnswer::kNeverRuns;
+  answer.kind = MessageKind::kStatusReply;
+  if (node.incarnation != message.incarnation) {
+    if (defect_ == Defect::kStaleTargetMeansNotRun)
+      answer.state = AttemptStatus::kNeverRuns;
   } else if (!message.cancel) {
-    answer.state = node.arrived.contains(id) ? SettleAnswer::kRunning
-                                             : SettleAnswer::kUnknownHere;
-  } else if (defect_ == Defect::kBarNotKept && !node.arrived.contains(id)) {
-    answer.state = SettleAnswer::kNeverRuns;
+    answer.state = node.arrived.contains(id) ? AttemptStatus::kRunning
+                                             : AttemptStatus::kUnknownHere;
+  } else if (defect_ == Defect::kCancelForgotten &&
+             !node.arrived.contains(id)) {
+    answer.state = AttemptStatus::kNeverRuns;
   } else {
     const AttemptState state = node.admission->Cancel(id, now_);
-    answer.state = state == AttemptState::kQueued ? SettleAnswer::kNeverRuns
+    answer.state = state == AttemptState::kQueued ? AttemptStatus::kNeverRuns
                                                   : ToAnswer(state);
   }
   link_.push_back(answer);
 }
 
-void HostileWorld::Perform(Node& node,
-                           const admission::AdmissionActions& actions) {
+void CallSimulation::Perform(Node& node,
+                             const admission::AdmissionActions& actions) {
   for (const auto& action : actions) {
     const Message attempt = node.arrived.at(action.attempt);
     if (action.kind == admission::ActionKind::kStart) {
@@ -275,20 +280,20 @@
     const bool never =
         base::AnswerTo(action.error).outcome == base::Outcome::kNotRun;
     Message answer = attempt;
-    answer.kind = MessageKind::kAnswer;
+    answer.kind = MessageKind::kAttemptReply;
     answer.end = {never ? AttemptVerdict::kRefused : AttemptVerdict::kLost,
                   action.error};
     link_.push_back(answer);
   }
 }
 
-void HostileWorld::Finish(Node& node, uint32_t pick) {
+void CallSimulation::Finish(Node& node, uint32_t pick) {
   if (node.is_frozen || node.running.empty())
     return;
   const auto at = node.running.begin() + pick % node.running.size();
   Message answer = *at;
   node.running.erase(at);
-  answer.kind = MessageKind::kAnswer;
+  answer.kind = MessageKind::kAttemptReply;
   answer.end = {pick % 5 == 0 ? AttemptVerdict::kFailed
                               : AttemptVerdict::kAnswered};
   link_.push_back(answer);
@@ -296,15 +301,15 @@
           node.admission->Finish(IdOf(answer.call, answer.attempt), now_));
 }
 
-void HostileWorld::Replace(Node& node) {
-  ++node.life;
+void CallSimulation::Replace(Node& node) {
+  ++node.incarnation;
   node.is_frozen = false;
   node.running.clear();
   node.arrived.clear();
   node.admission = NewAdmission();
 }
 
-void HostileWorld::PassTime(base::Duration time) {
+void CallSimulation::AdvanceTime(base::Duration time) {
   now_ += time;
   for (size_t at = 0; at < requests_.size(); ++at) {
     Request& request = requests_[at];
@@ -313,7 +318,7 @@
           now_ >= request.call->deadline()) {
         ++request.answers;
       }
-      Follow(at, request.call->OnTimer(now_));
+      RunSteps(at, request.call->OnTimer(now_));
     }
   }
   for (Node& node : nodes_) {
@@ -322,7 +327,8 @@
   }
 }
 
-std::optional<HostileWorld::Message> HostileWorld::TakeMessage(uint32_t pick) {
+std::optional<CallSimulation::Message> CallSimulation::TakeMessage(
+    uint32_t pick) {
   if (link_.empty())
     return std::nullopt;
   const auto at = link_.begin() + pick % link_.size();
--- a/tests/auto/calls/call_test.cc
+++ b/tests/auto/calls/call_test.cc
@@ -9,11 +9,11 @@
 
 using base::ErrorKind;
 using base::Outcome;
+using calls::AttemptStatus;
 using calls::AttemptVerdict;
 using calls::Call;
 using calls::CallPolicy;
 using calls::NextSteps;
-using calls::SettleAnswer;
 using calls::Step;
 
 const base::Instant kDeadline = kStart + std::chrono::seconds(2);
@@ -23,25 +23,25 @@
                                  ErrorKind::kOverloaded};
 
 Outcome OutcomeOf(const NextSteps& steps) {
-  REQUIRE(steps[0].step == Step::kAnswer);
+  REQUIRE(steps[0].step == Step::kAnswerError);
   return base::AnswerTo(steps[0].error).outcome;
 }
 
 TEST_CASE("a request that may not be repeated") {
   Budgets budgets;
   Call call(CallPolicy{}, kStart, kDeadline, budgets.All());
-  REQUIRE(Are(call.Start(kStart), {Step::kSend}));
+  REQUIRE(StepsAre(call.Start(kStart), {Step::kSend}));
 
   SECTION("is relayed the server's answer, and nothing after it") {
-    CHECK(Are(call.OnAttemptEnd(0, {AttemptVerdict::kAnswered}, kStart),
-              {Step::kRelay}));
+    CHECK(StepsAre(call.OnAttemptEnd(0, {AttemptVerdict::kAnswered}, kStart),
+                   {Step::kRelayAnswer}));
     CHECK(call.OnAttemptEnd(0, kLost, kStart).empty());
     CHECK(call.OnTimer(kDeadline).empty());
   }
 
   SECTION("is relayed a failure as it is") {
-    CHECK(Are(call.OnAttemptEnd(0, {AttemptVerdict::kFailed}, kStart),
-              {Step::kRelay}));
+    CHECK(StepsAre(call.OnAttemptEnd(0, {AttemptVerdict::kFailed}, kStart),
+                   {Step::kRelayAnswer}));
   }
 
   SECTION("is sent elsewhere where it is known not to have run") {
@@ -50,47 +50,49 @@
     const auto error = GENERATE(ErrorKind::kOverloaded, ErrorKind::kStaleTarget,
                                 ErrorKind::kDraining);
     const calls::AttemptEnd end = {verdict, error};
-    REQUIRE(Are(call.OnAttemptEnd(0, end, kStart), {Step::kSend}));
-    REQUIRE(Are(call.OnAttemptEnd(1, end, kStart), {Step::kSend}));
+    REQUIRE(StepsAre(call.OnAttemptEnd(0, end, kStart), {Step::kSend}));
+    REQUIRE(StepsAre(call.OnAttemptEnd(1, end, kStart), {Step::kSend}));
     CHECK(OutcomeOf(call.OnAttemptEnd(2, end, kStart)) == Outcome::kNotRun);
   }
 
   SECTION("is asked about when its connection is lost") {
-    REQUIRE(Are(call.OnAttemptEnd(0, kLost, kStart), {Step::kCancel}));
+    REQUIRE(StepsAre(call.OnAttemptEnd(0, kLost, kStart), {Step::kCancel}));
 
     SECTION("and sent elsewhere once it is barred") {
-      CHECK(Are(call.OnSettled(0, SettleAnswer::kNeverRuns, true, kStart),
-                {Step::kSend}));
+      CHECK(StepsAre(
+          call.OnStatusReply(0, AttemptStatus::kNeverRuns, true, kStart),
+          {Step::kSend}));
     }
     SECTION("and unknown in every other case") {
       const auto answer =
-          GENERATE(SettleAnswer::kQueued, SettleAnswer::kRunning,
-                   SettleAnswer::kFinished, SettleAnswer::kUnknownHere,
-                   SettleAnswer::kNoAnswer);
-      CHECK(OutcomeOf(call.OnSettled(0, answer, true, kStart)) ==
+          GENERATE(AttemptStatus::kQueued, AttemptStatus::kRunning,
+                   AttemptStatus::kFinished, AttemptStatus::kUnknownHere,
+                   AttemptStatus::kNoAnswer);
+      CHECK(OutcomeOf(call.OnStatusReply(0, answer, true, kStart)) ==
             Outcome::kUnknown);
     }
     SECTION("and unknown if the deadline comes first") {
       CHECK(OutcomeOf(call.OnTimer(kDeadline)) == Outcome::kUnknown);
-      CHECK(
-          call.OnSettled(0, SettleAnswer::kNeverRuns, true, kDeadline).empty());
+      CHECK(call.OnStatusReply(0, AttemptStatus::kNeverRuns, true, kDeadline)
+                .empty());
     }
   }
 
   SECTION("is cancelled a little before its deadline") {
     const base::Instant give_up = kDeadline - milliseconds(20);
     CHECK(call.OnTimer(give_up - milliseconds(1)).size() <= 1);
-    REQUIRE(Are(call.OnTimer(give_up), {Step::kCancel}));
+    REQUIRE(StepsAre(call.OnTimer(give_up), {Step::kCancel}));
     CHECK(call.next_timer() == kDeadline);
 
     SECTION("and told not to have run if that is confirmed") {
-      CHECK(OutcomeOf(call.OnSettled(0, SettleAnswer::kNeverRuns, true,
-                                     give_up)) == Outcome::kNotRun);
+      CHECK(OutcomeOf(call.OnStatusReply(0, AttemptStatus::kNeverRuns, true,
+                                         give_up)) == Outcome::kNotRun);
     }
     SECTION("and still relayed an answer if it was running") {
-      CHECK(call.OnSettled(0, SettleAnswer::kRunning, true, give_up).empty());
-      CHECK(Are(call.OnAttemptEnd(0, {AttemptVerdict::kAnswered}, give_up),
-                {Step::kRelay}));
+      CHECK(call.OnStatusReply(0, AttemptStatus::kRunning, true, give_up)
+                .empty());
+      CHECK(StepsAre(call.OnAttemptEnd(0, {AttemptVerdict::kAnswered}, give_up),
+                     {Step::kRelayAnswer}));
     }
     SECTION("and told the truth at the deadline if nothing is heard") {
       CHECK(OutcomeOf(call.OnTimer(kDeadline)) == Outcome::kUnknown);
@@ -98,7 +100,7 @@
   }
 
   SECTION("whose caller goes away is cancelled and not answered") {
-    CHECK(Are(call.OnCallerGone(kStart), {Step::kAbandon}));
+    CHECK(StepsAre(call.OnCallerDisconnected(kStart), {Step::kAbandon}));
     CHECK(call.OnAttemptEnd(0, kBusy, kStart).empty());
   }
 }
@@ -107,36 +109,42 @@
   Budgets budgets;
   CallPolicy policy;
   policy.is_repeatable = GENERATE(false, true);
-  policy.silence_limit = milliseconds(50);
+  policy.status_query_delay = milliseconds(50);
   Call call(policy, kStart, kDeadline, budgets.All());
   call.Start(kStart);
   const base::Instant silent = kStart + milliseconds(50);
   REQUIRE(call.next_timer() == silent);
-  REQUIRE(Are(call.OnTimer(silent), {Step::kAsk}));
+  REQUIRE(StepsAre(call.OnTimer(silent), {Step::kQueryStatus}));
 
   SECTION("that never arrived is barred, then sent elsewhere") {
-    REQUIRE(Are(call.OnSettled(0, SettleAnswer::kUnknownHere, false, silent),
-                {Step::kCancel}));
-    CHECK(Are(call.OnSettled(0, SettleAnswer::kNeverRuns, true, silent),
-              {Step::kDrop, Step::kSend}));
+    REQUIRE(StepsAre(
+        call.OnStatusReply(0, AttemptStatus::kUnknownHere, false, silent),
+        {Step::kCancel}));
+    CHECK(
+        StepsAre(call.OnStatusReply(0, AttemptStatus::kNeverRuns, true, silent),
+                 {Step::kCloseConnection, Step::kSend}));
   }
   SECTION("that runs is asked about again, at twice the interval") {
-    CHECK(call.OnSettled(0, SettleAnswer::kRunning, false, silent).empty());
+    CHECK(
+        call.OnStatusReply(0, AttemptStatus::kRunning, false, silent).empty());
     CHECK(call.next_timer() == silent + milliseconds(100));
   }
   SECTION("that finished without an answer is lost") {
-    CHECK(call.OnSettled(0, SettleAnswer::kFinished, false, silent).empty());
+    CHECK(
+        call.OnStatusReply(0, AttemptStatus::kFinished, false, silent).empty());
     const base::Instant later = call.next_timer();
-    REQUIRE(Are(call.OnTimer(later), {Step::kAsk}));
-    const auto steps = call.OnSettled(0, SettleAnswer::kFinished, false, later);
+    REQUIRE(StepsAre(call.OnTimer(later), {Step::kQueryStatus}));
+    const auto steps =
+        call.OnStatusReply(0, AttemptStatus::kFinished, false, later);
     if (policy.is_repeatable)
-      CHECK(Are(steps, {Step::kDrop, Step::kCancel, Step::kSend}));
+      CHECK(StepsAre(steps,
+                     {Step::kCloseConnection, Step::kCancel, Step::kSend}));
     else
-      CHECK(Are(steps, {Step::kDrop, Step::kCancel}));
+      CHECK(StepsAre(steps, {Step::kCloseConnection, Step::kCancel}));
   }
   SECTION("whose node cannot be asked is repeated if it may be") {
     const auto steps =
-        call.OnSettled(0, SettleAnswer::kNoAnswer, false, silent);
+        call.OnStatusReply(0, AttemptStatus::kNoAnswer, false, silent);
     CHECK(steps.size() == (policy.is_repeatable ? 1 : 0));
     CHECK_FALSE(call.IsOver());
   }
@@ -149,10 +157,10 @@
   SECTION("whose first attempt may have run is never said not to have run") {
     Call call(policy, kStart, kDeadline, budgets.All());
     call.Start(kStart);
-    REQUIRE(
-        Are(call.OnAttemptEnd(0, kLost, kStart), {Step::kCancel, Step::kSend}));
-    CHECK(call.OnSettled(0, SettleAnswer::kRunning, true, kStart).empty());
-    REQUIRE(Are(call.OnAttemptEnd(1, kBusy, kStart), {Step::kSend}));
+    REQUIRE(StepsAre(call.OnAttemptEnd(0, kLost, kStart),
+                     {Step::kCancel, Step::kSend}));
+    CHECK(call.OnStatusReply(0, AttemptStatus::kRunning, true, kStart).empty());
+    REQUIRE(StepsAre(call.OnAttemptEnd(1, kBusy, kStart), {Step::kSend}));
     CHECK(OutcomeOf(call.OnAttemptEnd(2, kBusy, kStart)) == Outcome::kUnknown);
   }
 
@@ -162,12 +170,12 @@
     call.Start(kStart);
     const base::Instant due = kStart + milliseconds(30);
     REQUIRE(call.next_timer() == due);
-    REQUIRE(Are(call.OnTimer(due), {Step::kSend}));
+    REQUIRE(StepsAre(call.OnTimer(due), {Step::kSend}));
     SECTION("the first answer wins and the other attempt is cancelled") {
       const int winner = GENERATE(0, 1);
       const auto steps =
           call.OnAttemptEnd(winner, {AttemptVerdict::kAnswered}, due);
-      REQUIRE(Are(steps, {Step::kRelay, Step::kAbandon}));
+      REQUIRE(StepsAre(steps, {Step::kRelayAnswer, Step::kAbandon}));
       CHECK(steps[0].attempt == winner);
       CHECK(steps[1].attempt == 1 - winner);
     }
@@ -179,10 +187,10 @@
   SECTION("is relayed the failure if there is nowhere else to send it") {
     Call call(policy, kStart, kDeadline, budgets.All());
     call.Start(kStart);
-    REQUIRE(Are(call.OnAttemptEnd(0, {AttemptVerdict::kFailed}, kStart),
-                {Step::kSend}));
+    REQUIRE(StepsAre(call.OnAttemptEnd(0, {AttemptVerdict::kFailed}, kStart),
+                     {Step::kSend}));
     const auto steps = call.OnNoServer(1, kStart);
-    REQUIRE(Are(steps, {Step::kRelay}));
+    REQUIRE(StepsAre(steps, {Step::kRelayAnswer}));
     CHECK(steps[0].attempt == 0);
   }
 
@@ -192,8 +200,8 @@
     Call call(policy, kStart, kDeadline, budgets.All());
     call.Start(kStart);
     CHECK(call.OnTimer(kStart + milliseconds(30)).empty());
-    CHECK(Are(call.OnAttemptEnd(0, {AttemptVerdict::kFailed}, kStart),
-              {Step::kRelay}));
+    CHECK(StepsAre(call.OnAttemptEnd(0, {AttemptVerdict::kFailed}, kStart),
+                   {Step::kRelayAnswer}));
   }
 
   SECTION("is not repeated beyond the budget") {
@@ -201,7 +209,7 @@
       budgets.node.TryTake();
     Call call(policy, kStart, kDeadline, budgets.All());
     call.Start(kStart);
-    CHECK(Are(call.OnAttemptEnd(0, kLost, kStart), {Step::kCancel}));
+    CHECK(StepsAre(call.OnAttemptEnd(0, kLost, kStart), {Step::kCancel}));
   }
 }
 
--- a/tests/auto/calls/fleet_retries_test.cc
+++ b/tests/auto/calls/fleet_retries_test.cc
@@ -1,5 +1,5 @@
 // The bound on second attempts of a whole fleet, kept by each node alone.
-#include "calls/fleet_retries.h"
+#include "calls/fleet_retry_limit.h"
 
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -15,7 +15,7 @@
 // Second attempts of `nodes` nodes that take every one they are allowed, in a
 // window in which each gets `requests`.
 int MostOf(size_t nodes, size_t seen, int requests) {
-  const NodeRetryLimit part = PartOfFleet(kLimit, seen);
+  const NodeRetryLimit part = PerNodeRetryLimit(kLimit, seen);
   int taken = 0;
   for (size_t i = 0; i < nodes; ++i) {
     RetryBudget budget(part.share, part.burst);
@@ -59,13 +59,13 @@
 }
 
 TEST_CASE("a node that starts again has saved up nothing") {
-  const NodeRetryLimit part = PartOfFleet(kLimit, 3);
+  const NodeRetryLimit part = PerNodeRetryLimit(kLimit, 3);
   RetryBudget budget = RetryBudget::Empty(part.share, part.burst);
   CHECK_FALSE(budget.TryTake());
 }
 
 TEST_CASE("in a large fleet a node can save up one at least") {
-  const NodeRetryLimit part = PartOfFleet(kLimit, 3000);
+  const NodeRetryLimit part = PerNodeRetryLimit(kLimit, 3000);
   RetryBudget budget = RetryBudget::Empty(part.share, part.burst);
   const int requests = static_cast<int>(std::ceil(1 / part.share));
   for (int i = 0; i < requests; ++i)
--- a/tests/auto/calls/moved_call_test.cc
+++ b/tests/auto/calls/moved_call_test.cc
@@ -24,7 +24,7 @@
   CallPolicy policy;
   policy.most_servers = 1;
   policy.most_sends = 4;
-  policy.server_refusals_count = true;
+  policy.counts_server_refusals = true;
   return policy;
 }
 
@@ -32,19 +32,19 @@
   Budgets budgets;
   budgets.service = calls::RetryBudget::Empty(0, 5);
   Call call(OneServerThreeMoves(), kStart, kDeadline, budgets.All());
-  REQUIRE(Are(call.Start(kStart), {Step::kSend}));
-  REQUIRE(Are(call.OnAttemptEnd(0, kHandedBack, kStart), {Step::kSend}));
-  REQUIRE(Are(call.OnAttemptEnd(1, kHandedBack, kStart), {Step::kSend}));
-  REQUIRE(Are(call.OnAttemptEnd(2, kHandedBack, kStart), {Step::kSend}));
+  REQUIRE(StepsAre(call.Start(kStart), {Step::kSend}));
+  REQUIRE(StepsAre(call.OnAttemptEnd(0, kHandedBack, kStart), {Step::kSend}));
+  REQUIRE(StepsAre(call.OnAttemptEnd(1, kHandedBack, kStart), {Step::kSend}));
+  REQUIRE(StepsAre(call.OnAttemptEnd(2, kHandedBack, kStart), {Step::kSend}));
 
   SECTION("until all that it may be sent to have") {
     const auto steps = call.OnAttemptEnd(3, kHandedBack, kStart);
-    REQUIRE(Are(steps, {Step::kAnswer}));
+    REQUIRE(StepsAre(steps, {Step::kAnswerError}));
     CHECK(steps[0].error == ErrorKind::kServerSlow);
   }
   SECTION("and is relayed the answer in the end") {
-    CHECK(Are(call.OnAttemptEnd(3, {AttemptVerdict::kAnswered}, kStart),
-              {Step::kRelay}));
+    CHECK(StepsAre(call.OnAttemptEnd(3, {AttemptVerdict::kAnswered}, kStart),
+                   {Step::kRelayAnswer}));
   }
 }
 
@@ -55,7 +55,7 @@
   SECTION("of one: there is no other") {
     Call call(policy, kStart, kDeadline, budgets.All());
     call.Start(kStart);
-    CHECK(Are(call.OnAttemptEnd(0, kShed, kStart), {Step::kAnswer}));
+    CHECK(StepsAre(call.OnAttemptEnd(0, kShed, kStart), {Step::kAnswerError}));
   }
   SECTION("of two: the second, if the fleet may spend one") {
     policy.most_servers = 2;
@@ -64,8 +64,8 @@
       budgets.service = calls::RetryBudget::Empty(0, 5);
     Call call(policy, kStart, kDeadline, budgets.All());
     call.Start(kStart);
-    CHECK(Are(call.OnAttemptEnd(0, kShed, kStart),
-              {may ? Step::kSend : Step::kAnswer}));
+    CHECK(StepsAre(call.OnAttemptEnd(0, kShed, kStart),
+                   {may ? Step::kSend : Step::kAnswerError}));
   }
 }
 
@@ -78,12 +78,12 @@
   Call call(policy, kStart, kDeadline, budgets.All());
   call.Start(kStart);
   const auto later = kStart + milliseconds(100);
-  REQUIRE(Are(call.OnTimer(later), {Step::kSend}));
-  REQUIRE(Are(call.OnAttemptEnd(1, kHandedBack, later), {Step::kSend}));
+  REQUIRE(StepsAre(call.OnTimer(later), {Step::kSend}));
+  REQUIRE(StepsAre(call.OnAttemptEnd(1, kHandedBack, later), {Step::kSend}));
 
   SECTION("and the first to answer is relayed, the other is abandoned") {
     const auto steps = call.OnAttemptEnd(2, {AttemptVerdict::kAnswered}, later);
-    CHECK(Are(steps, {Step::kRelay, Step::kAbandon}));
+    CHECK(StepsAre(steps, {Step::kRelayAnswer, Step::kAbandon}));
   }
 }
 
--- a/tests/benchmarks/decisions/fake_server.cc
+++ b/tests/benchmarks/decisions/fake_server.cc
@@ -38,30 +38,30 @@
   Perform(admission_.Arrive(arrival, queue_.now()));
 }
 
-calls::SettleAnswer FakeServer::Settle(const base::AttemptId& attempt,
-                                       bool cancel) {
-  using calls::SettleAnswer;
+calls::AttemptStatus FakeServer::Settle(const base::AttemptId& attempt,
+                                        bool cancel) {
+  using calls::AttemptStatus;
   if (!is_up_)
-    return SettleAnswer::kNoAnswer;
+    return AttemptStatus::kNoAnswer;
   if (!cancel) {
-    return jobs_.contains(attempt) ? SettleAnswer::kRunning
-                                   : SettleAnswer::kUnknownHere;
+    return jobs_.contains(attempt) ? AttemptStatus::kRunning
+                                   : AttemptStatus::kUnknownHere;
   }
   switch (admission_.Cancel(attempt, queue_.now())) {
     case admission::AttemptState::kQueued:
       Answer(attempt,
              {routing::AttemptVerdict::kRefused, base::ErrorKind::kCancelled});
-      return SettleAnswer::kNeverRuns;
+      return AttemptStatus::kNeverRuns;
     case admission::AttemptState::kNeverRuns:
-      return SettleAnswer::kNeverRuns;
+      return AttemptStatus::kNeverRuns;
     case admission::AttemptState::kRunning:
-      return SettleAnswer::kRunning;
+      return AttemptStatus::kRunning;
     case admission::AttemptState::kFinished:
-      return SettleAnswer::kFinished;
+      return AttemptStatus::kFinished;
     case admission::AttemptState::kUnknown:
-      return SettleAnswer::kUnknownHere;
+      return AttemptStatus::kUnknownHere;
   }
-  return SettleAnswer::kNoAnswer;
+  return AttemptStatus::kNoAnswer;
 }
 
 void FakeServer::Drain() {
--- a/tests/benchmarks/decisions/fake_server.h
+++ b/tests/benchmarks/decisions/fake_server.h
@@ -10,7 +10,7 @@
 
 #include "absl/container/flat_hash_map.h"
 #include "admission/admission_controller.h"
-#include "calls/settle_answer.h"
+#include "calls/attempt_status.h"
 #include "decisions/event_queue.h"
 #include "decisions/server_answer.h"
 #include "decisions/speed_profile.h"
@@ -37,7 +37,7 @@
 
   void Arrive(const admission::Arrival& arrival, Job job);
   // As the gate answers a question about an attempt.
-  calls::SettleAnswer Settle(const base::AttemptId& attempt, bool cancel);
+  calls::AttemptStatus Settle(const base::AttemptId& attempt, bool cancel);
 
   void Drain();
   // Whatever is in it is lost, and nothing is answered any more.
--- a/tests/benchmarks/decisions/ingress_run.h
+++ b/tests/benchmarks/decisions/ingress_run.h
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "base/random.h"
+#include "calls/adaptive_timeouts.h"
 #include "calls/call_policy.h"
-#include "calls/latency_timing.h"
 #include "calls/retry_budget.h"
 #include "decisions/choosing_policy.h"
 
@@ -23,11 +23,11 @@
   explicit ServiceRun(const PolicyPlace& place) : policy(place) {}
 
   Policy policy;
-  calls::LatencyTiming timing;
+  calls::AdaptiveTimeouts timing;
   calls::RetryBudget retries{kRetryShare, 20};
   calls::RetryBudget hedges{kHedgeShare, 5};
   calls::RetryBudget refusals{0.2, 20};
-  calls::RetryBudget questions{0.05, 50};
+  calls::RetryBudget status_queries{0.05, 50};
 };
 
 template <ChoosingPolicy Policy>
@@ -41,7 +41,8 @@
 
   calls::CallBudgets Budgets(int service) {
     ServiceRun<Policy>& run = *services[service];
-    return {run.retries, node_retries, run.hedges, run.refusals, run.questions};
+    return {run.retries, node_retries, run.hedges, run.refusals,
+            run.status_queries};
   }
 };
 
--- a/tests/benchmarks/decisions/simulation.h
+++ b/tests/benchmarks/decisions/simulation.h
@@ -120,13 +120,13 @@
             steps.push_back(next);
         }
         return;
-      case calls::Step::kAsk:
+      case calls::Step::kQueryStatus:
         Settle(ingress, call, step.attempt, false);
         return;
       case calls::Step::kCancel:
         Settle(ingress, call, step.attempt, true);
         return;
-      case calls::Step::kDrop:
+      case calls::Step::kCloseConnection:
         End(ingress, call, step.attempt, routing::AttemptVerdict::kUnreachable,
             std::nullopt);
         return;
@@ -134,11 +134,11 @@
         call.attempts[step.attempt].is_abandoned = true;
         Settle(ingress, call, step.attempt, true);
         return;
-      case calls::Step::kRelay:
+      case calls::Step::kRelayAnswer:
         call.ok = call.attempts[step.attempt].ok;
         Finish(call, base::Outcome::kAnswered);
         return;
-      case calls::Step::kAnswer:
+      case calls::Step::kAnswerError:
         Finish(call, base::AnswerTo(step.error).outcome);
         return;
     }
@@ -301,7 +301,7 @@
     world_.queue().After(distance, [this, &ingress, &call, attempt, cancel,
                                     asked_at, distance, &server] {
       const auto answer = server.Settle(call.attempts[attempt].id, cancel);
-      const bool is_answered = answer != calls::SettleAnswer::kNoAnswer;
+      const bool is_answered = answer != calls::AttemptStatus::kNoAnswer;
       const base::Instant back =
           is_answered ? now() + distance : asked_at + kSettleTimeout;
       world_.queue().At(back, [this, &ingress, &call, attempt, cancel, asked_at,
@@ -309,11 +309,11 @@
         if (call.attempts[attempt].is_abandoned)
           return;
         if (is_answered) {
-          ingress.services[call.service]->timing.OnSettled(now() - asked_at,
-                                                           now());
+          ingress.services[call.service]->timing.OnStatusReply(now() - asked_at,
+                                                               now());
         }
         Follow(ingress, call,
-               call.decision.OnSettled(attempt, answer, cancel, now()));
+               call.decision.OnStatusReply(attempt, answer, cancel, now()));
       });
     });
   }
