--- a/src/libs/calls/adaptive_timeouts.h
+++ b/src/libs/calls/adaptive_timeouts.h
@@ -1,4 +1,5 @@
-// The waits of a service's calls, worked out from the latencies seen.
+// Derives the hedge delay, the status query delay and the cancel lead of a
+// service's calls from recent latencies.
 #ifndef CALLS_ADAPTIVE_TIMEOUTS_H_
 #define CALLS_ADAPTIVE_TIMEOUTS_H_
 
@@ -12,13 +13,13 @@
  public:
   AdaptiveTimeouts();
 
-  // Of an attempt that the server answered.
+  // Records the latency of an attempt that the server answered.
   void OnAnswer(base::Duration latency, base::Instant now);
-  // Of a question about an attempt.
+  // Records the round trip of a status query or cancellation.
   void OnStatusReply(base::Duration round_trip, base::Instant now);
 
-  // Sets the waits in `policy`; hedges are for the share `hedge_budget` of the
-  // calls that is slowest.
+  // Sets the delays in `policy`. `hedge_budget`: the share of calls, the
+  // slowest ones, that are to be hedged; zero disables hedging.
   void Apply(double hedge_budget, CallPolicy& policy);
 
  private:
--- a/src/libs/calls/attempt_status.h
+++ b/src/libs/calls/attempt_status.h
@@ -1,16 +1,17 @@
-// What the admission side says of an attempt that it is asked about.
+// The status of an attempt, as the gate that admits it reports it in reply to
+// a status query or a cancellation (method attempt.settle between nodes).
 #ifndef CALLS_ATTEMPT_STATUS_H_
 #define CALLS_ATTEMPT_STATUS_H_
 
 namespace chestnutport::calls {
 
 enum class AttemptStatus {
-  kNeverRuns,    // It did not run and will not, also if it arrives later.
-  kQueued,       // It waits for the server.
-  kRunning,      // It was handed to the server.
-  kFinished,     // The server's answer came, or its connection was lost.
-  kUnknownHere,  // It has not arrived; it may do so later.
-  kNoAnswer,     // The node that is meant could not be asked.
+  kNeverRuns,    // Has not run and never will, even if it arrives later.
+  kQueued,       // Waits for a slot of the server.
+  kRunning,      // Was handed to the server.
+  kFinished,     // The server answered, or its connection was lost.
+  kUnknownHere,  // Has not arrived yet, but still may.
+  kNoAnswer,     // The gate could not be reached or did not reply.
 };
 
 }  // namespace chestnutport::calls
--- a/src/libs/calls/call.cc
+++ b/src/libs/calls/call.cc
@@ -9,10 +9,11 @@
 using base::Instant;
 
 constexpr int kNoAttempt = -1;
-// At most this part of the time to the deadline is given to cancelling.
+// At most one part in so many of the time to the deadline is used for
+// cancelling.
 constexpr int kCancelLeadDivisor = 4;
 
-// A busy server's refusal says that others may be busy too.
+// A refusal due to overload: the other servers may be overloaded too.
 bool IsBackPressure(ErrorKind refusal) {
   return refusal == ErrorKind::kOverloaded ||
          refusal == ErrorKind::kDeadlineTooClose ||
@@ -158,7 +159,7 @@
 
 bool Call::MaySend(Instant now) const {
   return !policy_.is_pinned_to_server && !has_cancelled_ && now < cancel_at_ &&
-         attempts() < policy_.most_sends &&
+         attempts() < policy_.max_sends &&
          ServersReached() < policy_.most_servers;
 }
 
@@ -174,7 +175,7 @@
 }
 
 bool Call::MayResendUnrun(ErrorKind refusal, Instant now) {
-  // No other server would take that either.
+  // A quarantine applies to all servers.
   if (refusal == ErrorKind::kRequestQuarantined)
     return false;
   if (!MaySend(now) || IsInFlight() || (!policy_.is_repeatable && MayHaveRun()))
@@ -214,8 +215,8 @@
     ++server_refusals_;
   last_refusal_ = error;
   retry_after_ = retry_after;
-  // A second try that was handed back before it ran looks for another server,
-  // whatever the first does.
+  // A retry or hedge that was returned before it ran is sent to another server,
+  // even while other attempts are in flight.
   const bool moves_on =
       error == ErrorKind::kServerSlow && policy_.is_repeatable && MaySend(now);
   if (moves_on || MayResendUnrun(error, now))
--- a/src/libs/calls/call.h
+++ b/src/libs/calls/call.h
@@ -1,10 +1,11 @@
-// Decides what happens to one caller's request at its ingress node: which
-// attempts are made, when one is asked about, cancelled or repeated, and what
-// the one final answer is. Pure: events go in, the next steps come out.
+// State machine of one caller's request at its ingress node. Decides when to
+// send, query, cancel or retry an attempt, and what the single final answer is.
+// Performs no I/O: takes events and returns the next steps.
 //
-// Two rules hold whatever the order of events. A request that may not be
-// repeated is sent again only once each earlier attempt is known not to run.
-// The caller is told "not run" only if that is known of every attempt.
+// Two invariants hold for any order of events:
+// - A request that is not repeatable is sent again only once every earlier
+//   attempt is known never to run.
+// - The caller is told "not run" only if this is known of every attempt.
 #ifndef CALLS_CALL_H_
 #define CALLS_CALL_H_
 
@@ -20,42 +21,43 @@
 
 class Call {
  public:
-  // `now` is the arrival of the request.
+  // `now`: when the request arrived.
   Call(const CallPolicy& policy,
        base::Instant now,
        base::Instant deadline,
        const CallBudgets& budgets);
 
-  // Call once, first.
+  // Returns the first attempt to send. Must be called once, before any event.
   NextSteps Start(base::Instant now);
-  // There was no server to send `attempt` to.
+  // No server was available for `attempt`.
   NextSteps OnNoServer(int attempt, base::Instant now);
-  // The request may be handed to no server from now on, for `retry_after`.
+  // The request is quarantined for `retry_after`: no server may be given it.
   NextSteps OnQuarantined(int attempt,
                           base::Duration retry_after,
                           base::Instant now);
   NextSteps OnAttemptEnd(int attempt, const AttemptEnd& end, base::Instant now);
-  // The answer to kQueryStatus or kCancel; `cancelled` says to which.
+  // The reply to kCancel if `cancelled`, otherwise to kQueryStatus.
   NextSteps OnStatusReply(int attempt,
                           AttemptStatus answer,
                           bool cancelled,
                           base::Instant now);
-  // Call at or after `next_timer()`.
+  // Must be called at or after `next_timer()`.
   NextSteps OnTimer(base::Instant now);
   NextSteps OnCallerDisconnected(base::Instant now);
 
   base::Instant next_timer() const;
   base::Instant deadline() const { return deadline_; }
   int attempts() const { return static_cast<int>(attempts_.size()); }
-  // The final answer was given, or nobody waits for it.
+  // Whether the final answer was given or the caller has disconnected.
   bool IsOver() const { return is_over_; }
 
  private:
   enum class Phase {
-    kInFlight,    // Its end has not come.
-    kResolving,   // Its connection is gone; the other node is being asked.
-    kNotRun,      // Known not to have run, and not to run.
-    kMayHaveRun,  // Nothing more will be heard of it.
+    kInFlight,    // Sent, and not ended.
+    kResolving,   // Its connection was lost; the other node's reply to a
+                  // cancellation is awaited.
+    kNotRun,      // Has not run and never will.
+    kMayHaveRun,  // May have run; nothing further can be learnt.
     kFailed,      // The server answered with a status of 500 or more.
   };
 
@@ -69,9 +71,9 @@
   };
 
   bool IsInFlight() const;
-  // Servers that were handed the request, or may have been.
+  // Number of servers that received the request, or may have.
   int ServersReached() const;
-  // An answer, or one to a question, may still come.
+  // Whether an attempt's answer or the reply to a status query is outstanding.
   bool HasOpenAttempts() const;
   bool MayHaveRun() const;
   bool MaySend(base::Instant now) const;
@@ -100,7 +102,7 @@
   void CancelInFlight(NextSteps& steps);
   void Hedge(NextSteps& steps, base::Instant now);
   void QueryIfOverdue(NextSteps& steps, int attempt, base::Instant now);
-  // Gives the final answer unless an attempt may still bring one.
+  // Gives the final answer once no attempt is open.
   void AnswerIfResolved(NextSteps& steps);
   void SendFinalAnswer(NextSteps& steps);
   void End(NextSteps& steps, int kept_attempt);
@@ -108,7 +110,7 @@
   CallPolicy policy_;
   base::Instant deadline_;
   base::Instant cancel_at_;
-  base::Instant hedge_at_;  // The clock's end: no hedge.
+  base::Instant hedge_at_;  // Instant::max() if no hedge is due.
   CallBudgets budgets_;
   absl::InlinedVector<Attempt, 4> attempts_;
   int server_refusals_ = 0;
--- a/src/libs/calls/call_policy.h
+++ b/src/libs/calls/call_policy.h
@@ -1,4 +1,5 @@
-// What a call may do, fixed when it begins.
+// The limits of one call, fixed when it begins, and the budgets that calls
+// share.
 #ifndef CALLS_CALL_POLICY_H_
 #define CALLS_CALL_POLICY_H_
 
@@ -8,37 +9,39 @@
 namespace chestnutport::calls {
 
 struct CallPolicy {
-  // It may run more than once.
+  // The request is idempotent, so it may run more than once.
   bool is_repeatable = false;
-  // A level above repeats this work if it fails, so this one does not; what is
-  // known not to have run may be sent elsewhere all the same.
+  // A level above retries this work if it fails, so this level does not. An
+  // attempt that is known not to have run may still be sent elsewhere.
   bool is_retried_above = false;
-  // It must run at one certain server, so nothing is sent elsewhere.
+  // Only one particular server may run the request; it is never sent to
+  // another.
   bool is_pinned_to_server = false;
-  // Servers that it may be handed to, and nodes that it may be sent to: one
-  // that is sent back by a node before it reached a server may go on.
+  // Maximum number of servers that receive the request, and of attempts. The
+  // second is larger where a node may return an attempt before it reached its
+  // server.
   int most_servers = 3;
-  int most_sends = 3;
-  // A refusal by the server itself counts as a second attempt: the server saw
-  // the request. False: it costs nothing.
+  int max_sends = 3;
+  // Whether a refusal by the server itself, which has received the request,
+  // counts towards `most_servers`, and resending it towards the retry budget.
   bool counts_server_refusals = false;
-  // Without an answer for so long, a second attempt starts. Zero: never.
+  // Time without an answer after which a hedge starts. Zero disables hedging.
   base::Duration hedge_delay{};
-  // Without an answer for so long, the attempt's state is asked for.
+  // Time without an answer after which the attempt's status is queried.
   base::Duration status_query_delay = std::chrono::seconds(1);
-  // So long before the deadline, what has not started is cancelled, so that
-  // the caller can be told that it did not run.
+  // Time before the deadline at which attempts that have not started are
+  // cancelled, so that the caller can be told that the request did not run.
   base::Duration cancel_lead = std::chrono::milliseconds(20);
 };
 
-// What the calls of one service, or of the whole node, share. All must outlive
-// the calls that draw on them.
+// Budgets shared by the calls of one service, or by all calls of the node. Must
+// outlive the calls that use them.
 struct CallBudgets {
-  RetryBudget& service;         // Attempts that may run a second time.
-  RetryBudget& node;            // The same, over all services.
-  RetryBudget& hedges;          // Those of them that are hedges.
-  RetryBudget& refusals;        // Second tries of what a busy server refused.
-  RetryBudget& status_queries;  // Questions about an attempt without an answer.
+  RetryBudget& service;         // Retries and hedges of the service.
+  RetryBudget& node;            // Retries and hedges of all services.
+  RetryBudget& hedges;          // Hedges of the service.
+  RetryBudget& refusals;        // Resends after a refusal due to overload.
+  RetryBudget& status_queries;  // Status queries of unanswered attempts.
 };
 
 }  // namespace chestnutport::calls
--- a/src/libs/calls/call_status_queries.cc
+++ b/src/libs/calls/call_status_queries.cc
@@ -1,4 +1,4 @@
-// What a call does to find out what became of an attempt without an answer.
+// Status queries and cancellations of attempts that have not been answered.
 #include <algorithm>
 
 #include "calls/call.h"
@@ -10,7 +10,8 @@
 using base::Instant;
 
 constexpr std::chrono::seconds kMaxQueryInterval(1);
-// An answer may still be on its way when its server has finished.
+// The answer may still be in transit when its server is reported to have
+// finished.
 constexpr std::chrono::milliseconds kFinishedGrace(250);
 
 }  // namespace
@@ -38,7 +39,7 @@
                         Instant now) {
   Attempt& queried = attempts_[attempt];
   if (queried.is_cancel_sent)
-    return;  // The answer to the later question decides.
+    return;  // The reply to the cancellation, which was sent later, decides.
   queried.is_query_pending = false;
   queried.query_interval =
       std::min<base::Duration>(queried.query_interval * 2, kMaxQueryInterval);
@@ -77,7 +78,8 @@
   Attempt& queried = attempts_[attempt];
   queried.is_query_pending = false;
   if (answer == AttemptStatus::kNeverRuns) {
-    // A connection that is only slow brings the refusal, and is kept.
+    // After the cancellation before the deadline, the connection is kept: if it
+    // is only slow, it still delivers the refusal.
     if (queried.phase == Phase::kInFlight && !has_cancelled_)
       steps.push_back({Step::kCloseConnection, attempt});
     OnNotRun(steps, attempt, ErrorKind::kCancelled, {}, now);
--- a/src/libs/calls/fleet_retry_limit.cc
+++ b/src/libs/calls/fleet_retry_limit.cc
@@ -5,25 +5,26 @@
 namespace chestnutport::calls {
 namespace {
 
-// What the nodes spend themselves of the bound on second attempts of a service.
-// A second attempt that runs makes its calls once more, and these count as
-// second attempts of the services that are called: what a service spends may
-// come up again, as large, at each service that it calls. So less than half of
-// the bound; the rest is for nodes that join faster than others hear of it.
-// With 0.7, servers that refused half of their requests got 506 arrivals beyond
-// the first in 10 s where 465 are allowed; with 0.45 the bound held in each of
-// four such loads, and 0.928 to 0.933 of the worth was served in place of
-// 0.934.
+// Portion of the fleet's share that the nodes use. A retry that runs repeats
+// the calls that the server makes, and these count as retries of the called
+// services, so the retries of one service may recur in equal number at each
+// service that it calls. The portion is therefore less than half; the rest
+// covers nodes that join before the others have learnt of them.
+// With 0.7, servers that refused half of their requests received 506 attempts
+// beyond the first in 10 s where 465 are allowed. With 0.45 the limit held
+// under each of four such loads, at a weighted goodput of 0.928 to 0.933
+// instead of 0.934.
 constexpr double kShareUsed = 0.45;
-// The same, of what may be saved up; a run makes one or two calls.
+// Portion of the fleet's burst that the nodes use. Smaller, because a run makes
+// one or two calls.
 constexpr double kBurstUsed = 0.35;
 
 }  // namespace
 
 NodeRetryLimit PerNodeRetryLimit(const FleetRetryLimit& limit, size_t nodes) {
   const auto parts = static_cast<double>(std::max<size_t>(1, nodes));
-  // A token must be able to be saved up at all, or a small fleet's burst that
-  // is spread over many nodes would be lost.
+  // With a burst below one token, a node could never retry: a small burst that
+  // is divided among many nodes would be lost.
   return {limit.share * kShareUsed,
           std::max(1.0, limit.burst * kBurstUsed / parts)};
 }
--- a/src/libs/calls/fleet_retry_limit.h
+++ b/src/libs/calls/fleet_retry_limit.h
@@ -1,4 +1,4 @@
-// One node's part of what a fleet may spend on second attempts.
+// Divides a fleet-wide limit on retries and hedges among the nodes.
 #ifndef CALLS_FLEET_RETRY_LIMIT_H_
 #define CALLS_FLEET_RETRY_LIMIT_H_
 
@@ -6,23 +6,23 @@
 
 namespace chestnutport::calls {
 
-// The bound for all nodes together: in any window, attempts beyond the first
-// may be `share` of the requests, and `burst` beside.
+// Limit for all nodes together: in any period, the attempts beyond the first
+// may number `share` times the requests, plus `burst`.
 struct FleetRetryLimit {
   double share = 0.2;
   double burst = 600;
 };
 
-// What one node may spend on a service, in tokens: it earns `share` with each
-// request, and saves up to `burst`.
+// Token bucket of one node for one service: each request adds `share` tokens,
+// up to `burst`; each attempt beyond the first takes one.
 struct NodeRetryLimit {
   double share = 0;
   double burst = 0;
 };
 
-// The part of one node among `nodes`, so that all parts together keep the
-// bound without the nodes speaking of it. `nodes` is to be the most that were
-// seen lately: a node that is cut off from the others must not take theirs.
+// Returns the limit of one of `nodes` nodes, such that the fleet keeps `limit`
+// without coordination. `nodes` should be the greatest number seen recently, so
+// that a node in a partition does not use the share of those it cannot reach.
 NodeRetryLimit PerNodeRetryLimit(const FleetRetryLimit& limit, size_t nodes);
 
 }  // namespace chestnutport::calls
--- a/src/libs/calls/latency_quantiles.cc
+++ b/src/libs/calls/latency_quantiles.cc
@@ -10,7 +10,7 @@
 using Seconds = std::chrono::duration<double>;
 
 constexpr int kBins = 192;
-constexpr double kMinLatencySeconds = 20e-6;  // Seconds.
+constexpr double kMinLatencySeconds = 20e-6;
 constexpr double kMaxLatencySeconds = 60;
 constexpr uint32_t kMinSamples = 100;
 
@@ -43,7 +43,7 @@
     return std::nullopt;
   const double rank = quantile * size;
   double below = 0;
-  // From the bin for shorter values to the last proper one.
+  // From the underflow bin to the last regular bin.
   for (int bin = -1; bin < kBins; ++bin) {
     below += current_.at(bin) + previous_.at(bin);
     if (below >= rank) {
--- a/src/libs/calls/latency_quantiles.h
+++ b/src/libs/calls/latency_quantiles.h
@@ -1,4 +1,4 @@
-// Learns quantiles of a latency from what was seen lately.
+// Estimates quantiles of recent latencies.
 #ifndef CALLS_LATENCY_QUANTILES_H_
 #define CALLS_LATENCY_QUANTILES_H_
 
@@ -14,16 +14,16 @@
 
 namespace chestnutport::calls {
 
-// A histogram with bins of equal width in the logarithm, 20 us to 60 s, each
-// 8% wide. It holds the present window and the one before, so that a change is
-// followed within two windows.
+// Histogram with logarithmic bins from 20 us to 60 s, each 8% wide. Covers the
+// current and the previous window, so that the quantiles follow a change within
+// two windows.
 class LatencyQuantiles {
  public:
   explicit LatencyQuantiles(base::Duration window);
 
   void Record(base::Duration latency, base::Instant now);
-  // The upper edge of the bin that holds the quantile; nothing while there are
-  // too few values. `quantile` is between 0 and 1.
+  // Returns the upper edge of the bin that holds the quantile, or nullopt while
+  // there are fewer than 100 samples. `quantile` is between 0 and 1.
   std::optional<base::Duration> Quantile(double quantile) const;
 
  private:
--- a/src/libs/calls/move_limits.h
+++ b/src/libs/calls/move_limits.h
@@ -1,23 +1,24 @@
-// How often one call may be handed back, unrun, by gates whose servers are in a
-// poor state before one has to take it.
+// How often gates may return a call unrun, because of the state of their
+// servers, before one has to accept it.
 #ifndef CALLS_MOVE_LIMITS_H_
 #define CALLS_MOVE_LIMITS_H_
 
 namespace chestnutport::calls {
 
 struct MoveLimits {
-  // While servers are slow or fail.
+  // Returns because the server is slow or fails requests.
   int if_degraded = 0;
-  // While servers are full as well. Fewer, because all of them may be: then
-  // each move is one more exchange for nothing, on links and processors that
-  // are busy too.
+  // Returns because the server has no free slot. Lower, because all servers may
+  // be full: each move then costs an exchange on busy links and processors
+  // without any gain.
   int if_full = 0;
 };
 
-// A quarter to a third of a fleet's servers is slow at a time: the chance that
-// seven in a row are is one in 1,500 at most. A move takes two to five
-// milliseconds. Where most servers are full, the queue of the second is as good
-// as that of the sixth, and the time to the target is not spent on the way.
+// At any time a quarter to a third of a fleet's servers are slow, so the
+// probability that seven in a row are is at most 1 in 1,500. A move takes two
+// to five milliseconds. Where most servers are full, the queue of the second is
+// as short as that of the sixth, and further moves would only use up the time
+// to the latency target.
 inline constexpr MoveLimits kDefaultMoveLimits{.if_degraded = 7, .if_full = 1};
 
 }  // namespace chestnutport::calls
--- a/src/libs/calls/nested_target.cc
+++ b/src/libs/calls/nested_target.cc
@@ -5,7 +5,7 @@
 namespace chestnutport::calls {
 namespace {
 
-constexpr int kRemainingDivisor = 2;  // One in so many of what is left.
+constexpr int kRemainingDivisor = 2;
 
 }  // namespace
 
--- a/src/libs/calls/nested_target.h
+++ b/src/libs/calls/nested_target.h
@@ -1,4 +1,5 @@
-// Until when an answer is worth most to a server that makes a call of its own.
+// Latency target of a nested call: one that a server makes for a request that
+// it is running.
 #ifndef CALLS_NESTED_TARGET_H_
 #define CALLS_NESTED_TARGET_H_
 
@@ -6,10 +7,12 @@
 
 namespace chestnutport::calls {
 
-// `target`: until the call's own target; `remaining`: until its deadline, which
-// is that of the request it is made for. Half of that is left to what the
-// server still has to do. A call that is refused fails the request, with all
-// that was done for it; one that waits only makes it later.
+// `target`: time until the call's own latency target. `remaining`: time until
+// its deadline, which is that of the enclosing request. Returns the longer of
+// `target` and half of `remaining`; the other half is left for the rest of the
+// server's work. The target is generous because refusing the call would fail
+// the enclosing request and waste the work done for it, while queueing only
+// delays it.
 base::Duration NestedTarget(base::Duration target, base::Duration remaining);
 
 }  // namespace chestnutport::calls
--- a/src/libs/calls/next_step.h
+++ b/src/libs/calls/next_step.h
@@ -1,4 +1,4 @@
-// What the ingress node is to do next for a call.
+// Actions that the ingress node has to take for a call.
 #ifndef CALLS_NEXT_STEP_H_
 #define CALLS_NEXT_STEP_H_
 
@@ -9,23 +9,23 @@
 namespace chestnutport::calls {
 
 enum class Step {
-  kSend,         // Send attempt `attempt` to a server that was not tried yet.
-  kQueryStatus,  // Ask for the attempt's state, on a fresh connection.
-  kCancel,       // The same, and bar it from starting.
-  kCloseConnection,  // Close the attempt's connection; its end is not reported.
-  kAbandon,          // Cancel it; neither its end nor the answer is reported.
-  kRelayAnswer,      // Give the caller the server's answer to `attempt`.
-  kAnswerError,      // Give the caller the error in `error`.
+  kSend,             // Send `attempt` to a server that was not tried yet.
+  kQueryStatus,      // Query the attempt's status on a new connection.
+  kCancel,           // Query its status, and prevent it from starting.
+  kCloseConnection,  // Close its connection; its end is not reported.
+  kAbandon,          // Cancel it; neither its end nor the reply is reported.
+  kRelayAnswer,      // Send the caller the server's answer to `attempt`.
+  kAnswerError,      // Send the caller `error`.
 };
 
 struct NextStep {
   Step step = Step::kAnswerError;
   int attempt = 0;  // Counted from zero within the call.
-  base::ErrorKind error = base::ErrorKind::kInternal;  // Of kAnswerError.
-  base::Duration retry_after{};                        // Of kAnswerError.
+  base::ErrorKind error = base::ErrorKind::kInternal;  // For kAnswerError.
+  base::Duration retry_after{};                        // For kAnswerError.
 };
 
-// To be carried out in this order.
+// Must be carried out in this order.
 using NextSteps = absl::InlinedVector<NextStep, 4>;
 
 }  // namespace chestnutport::calls
--- a/src/libs/calls/retry_budget.h
+++ b/src/libs/calls/retry_budget.h
@@ -1,4 +1,4 @@
-// Bounds attempts beyond the first to a share of the first ones.
+// Token bucket that limits retries to a share of the calls.
 #ifndef CALLS_RETRY_BUDGET_H_
 #define CALLS_RETRY_BUDGET_H_
 
@@ -6,14 +6,14 @@
 
 class RetryBudget {
  public:
-  // `share` of the calls may be repeated; up to `burst` at once.
+  // Allows `share` retries per call, and saves up to `burst`. Starts full.
   RetryBudget(double share, double burst);
-  // The same, with nothing saved up: a node that starts again and again has no
-  // more than one that runs on.
+  // Returns a budget that starts empty, so that a node that restarts repeatedly
+  // gets no more retries than one that keeps running.
   static RetryBudget Empty(double share, double burst);
 
   void OnCall();
-  // Takes one repetition from the budget; false if there is none left.
+  // Takes one retry from the budget. Returns false if none is left.
   bool TryTake();
 
   void set_share(double share) { share_ = share; }
--- a/src/libs/calls/retry_delay.cc
+++ b/src/libs/calls/retry_delay.cc
@@ -6,12 +6,12 @@
 namespace chestnutport::calls {
 namespace {
 
-// Callers wait a third of what is left to them at max_delay; a later return
-// would be taken for that, all at one moment.
+// Callers shorten a longer delay to a third of the time they have left, which
+// would remove the jitter: they would all retry at the same time.
 constexpr double kMaxShareOfRemaining = 0.3;
-// A queue that is full now is another one after about this.
+// Time within which a full queue has been replaced by other requests.
 constexpr base::Duration kMinDelay = std::chrono::milliseconds(20);
-// The spread: from half of the time to all of it.
+// The jitter: the delay is multiplied by a random factor from this to 1.
 constexpr double kMinSpreadFactor = 0.5;
 
 }  // namespace
--- a/src/libs/calls/retry_delay.h
+++ b/src/libs/calls/retry_delay.h
@@ -1,4 +1,4 @@
-// When a caller whose request was refused is to come back.
+// The delay after which a caller whose request was refused should retry.
 #ifndef CALLS_RETRY_DELAY_H_
 #define CALLS_RETRY_DELAY_H_
 
@@ -7,10 +7,10 @@
 
 namespace chestnutport::calls {
 
-// `expected`: when there may be room, as far as it is known. `remaining`: what
-// the caller's deadline leaves. The time lies where the answer to the second
-// request can still be of use, and is spread, so that callers that were refused
-// together do not return together.
+// `expected`: estimated time until there is capacity. `remaining`: time until
+// the caller's deadline. Returns a delay after which a retry can still be
+// answered before the deadline, with jitter, so that callers that were refused
+// together do not retry together.
 base::Duration RetryDelay(base::Duration expected,
                           base::Duration remaining,
                           base::Random& random);
--- a/tests/auto/calls/call_figures_test.cc
+++ b/tests/auto/calls/call_figures_test.cc
@@ -1,4 +1,5 @@
-// The figures of docs/design/retries.md, in virtual time and seeded.
+// Measures the figures of docs/design/retries.md in virtual time, with a fixed
+// seed.
 #include <array>
 #include <catch2/catch.hpp>
 #include <iostream>
@@ -15,13 +16,13 @@
 
 constexpr int kLevels = 24;
 
-// A chain of services, each of which calls the next for every request.
+// A chain of services in which each request makes one call to the next service.
 class Chain {
  public:
   Chain(double leaf_failures, bool one_level_retries)
       : leaf_failures_(leaf_failures), one_level_retries_(one_level_retries) {}
 
-  // Executions at the last level for each request at the first.
+  // Returns the executions at the last level per request at the first.
   double Amplification(int requests) {
     for (int i = 0; i < requests; ++i)
       Run(0, false);
@@ -60,7 +61,7 @@
   int leaf_executions_ = 0;
 };
 
-TEST_CASE("retries over 24 levels amplify by the budget of one") {
+TEST_CASE("retries over 24 levels amplify by the budget of one level only") {
   const double failures = GENERATE(0.01, 0.1, 0.5, 1.0);
   const double shipped = Chain(failures, true).Amplification(20000);
   const double every_level = Chain(failures, false).Amplification(1000);
@@ -71,7 +72,7 @@
     CHECK(every_level > shipped);
 }
 
-TEST_CASE("a silent attempt is asked about in time") {
+TEST_CASE("the status query delay follows the p99 latency within bounds") {
   const int slow_ms = GENERATE(2, 10, 50, 200, 2000);
   calls::AdaptiveTimeouts timing;
   for (int i = 0; i < 1000; ++i)
--- a/tests/auto/calls/call_fixture.h
+++ b/tests/auto/calls/call_fixture.h
@@ -1,4 +1,4 @@
-// A call in virtual time, with budgets of its own.
+// Helpers for tests of a call in virtual time, with budgets of its own.
 #ifndef CALLS_CALL_FIXTURE_H_
 #define CALLS_CALL_FIXTURE_H_
 
@@ -22,7 +22,7 @@
 
 inline constexpr base::Instant kStart = base::Instant(std::chrono::hours(1));
 
-// Whether `steps` are exactly `expected`, in that order.
+// Returns whether `steps` are exactly `expected`, in that order.
 inline bool StepsAre(const calls::NextSteps& steps,
                      std::initializer_list<calls::Step> expected) {
   return std::ranges::equal(steps, expected, {}, &calls::NextStep::step);
--- a/tests/auto/calls/call_properties_test.cc
+++ b/tests/auto/calls/call_properties_test.cc
@@ -1,4 +1,4 @@
-// What holds of calls and admission together, whatever happens between them.
+// Tests invariants of calls and admission together over random event sequences.
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
 
@@ -10,7 +10,7 @@
 
 constexpr int kKinds = static_cast<int>(EventKind::kCount);
 
-// Deliveries are drawn more often than faults, so that calls get somewhere.
+// Deliveries are drawn more often than faults, so that calls make progress.
 EventKind KindOf(int drawn) {
   if (drawn < kKinds)
     return static_cast<EventKind>(drawn);
@@ -26,7 +26,7 @@
   return events;
 }
 
-// How many of the drawn lists of events show what `found` looks for.
+// Returns the number of random event sequences for which `found` holds.
 template <typename Found>
 int CountRunsWith(Defect defect, Found found) {
   base::Random random(7);
@@ -36,7 +36,7 @@
   return count;
 }
 
-TEST_CASE("calls and admission keep their promises") {
+TEST_CASE("calls and admission keep their invariants") {
   rc::prop("over any order of events", [] {
     const auto event = rc::gen::apply(
         [](int kind, uint32_t pick) {
@@ -51,30 +51,30 @@
     RC_ASSERT_FALSE(violations.misrouted_answer);
   });
 
-  SECTION("over long drawn lists") {
+  SECTION("over long random event sequences") {
     CHECK(CountRunsWith(Defect::kNone, std::mem_fn(&Violations::Any)) == 0);
   }
 }
 
-TEST_CASE("each promise is seen to be broken where the code is") {
-  SECTION("a bar that is not kept") {
+TEST_CASE("a defect that breaks an invariant is detected") {
+  SECTION("a confirmed cancellation that is not remembered") {
     CHECK(CountRunsWith(Defect::kCancelForgotten,
                         [](const Violations& f) { return f.ran_twice; }) > 0);
     CHECK(CountRunsWith(Defect::kCancelForgotten, [](const Violations& f) {
             return f.false_not_run;
           }) > 0);
   }
-  SECTION("a replaced node taken for one that never ran it") {
+  SECTION("a stale target reported as an attempt that never ran") {
     CHECK(
         CountRunsWith(Defect::kStaleTargetMeansNotRun, [](const Violations& f) {
           return f.ran_twice || f.false_not_run;
         }) > 0);
   }
-  SECTION("a lost connection taken for one never opened") {
+  SECTION("a lost connection reported as one never opened") {
     CHECK(CountRunsWith(Defect::kLostMeansNotOpened,
                         [](const Violations& f) { return f.ran_twice; }) > 0);
   }
-  SECTION("an answer that came by another connection") {
+  SECTION("a duplicate answer on another connection") {
     CHECK(CountRunsWith(Defect::kAcceptsDuplicates,
                         [](const Violations& f) { return f.ran_twice; }) > 0);
   }
@@ -83,7 +83,7 @@
             return f.wrong_answer_count;
           }) > 0);
   }
-  SECTION("answers matched by their place in the link") {
+  SECTION("answers matched by their position in the link") {
     CHECK(CountRunsWith(Defect::kAnswersMisrouted, [](const Violations& f) {
             return f.misrouted_answer;
           }) > 0);
--- a/tests/auto/calls/call_simulation.cc
+++ b/tests/auto/calls/call_simulation.cc
@@ -185,8 +185,8 @@
   switch (message.kind) {
     case MessageKind::kAttempt:
     case MessageKind::kStatusQuery:
-      // What reaches a frozen node waits there, and a copy is made of what has
-      // been received: it does not overtake what it is a copy of.
+      // Messages to a frozen node stay in the link. A duplicate is of a message
+      // that was received, so it does not overtake the original.
       if (nodes_[message.node].is_frozen || OvertakesOriginal(message))
         link_.push_back(message);
       else if (message.kind == MessageKind::kAttempt)
--- a/tests/auto/calls/call_simulation.h
+++ b/tests/auto/calls/call_simulation.h
@@ -1,6 +1,6 @@
-// Pure calls and pure admission controllers, joined by a link that loses,
-// duplicates, delays and reorders, with nodes that freeze and are replaced.
-// Which of it happens when is given as a list of events.
+// Simulates calls and admission controllers joined by a link that loses,
+// duplicates, delays and reorders messages, with nodes that freeze and are
+// replaced. The faults and their order are given as a list of events.
 #ifndef CALLS_CALL_SIMULATION_H_
 #define CALLS_CALL_SIMULATION_H_
 
@@ -15,15 +15,16 @@
 
 namespace chestnutport::test {
 
-// Faults of the code that the properties must be able to find.
+// Deliberate defects that the property tests must detect.
 enum class Defect {
   kNone,
-  kCancelForgotten,         // A cancel is confirmed, and forgotten.
-  kStaleTargetMeansNotRun,  // A replaced node's silence is taken for "not run".
-  kLostMeansNotOpened,      // A lost connection is taken for one never opened.
-  kAnswersAtDeadline,  // The ingress answers at the deadline by itself, too.
-  kAnswersMisrouted,   // An answer is matched by its place in the link.
-  kAcceptsDuplicates,  // An answer counts from whatever connection it comes.
+  kCancelForgotten,         // A cancellation is confirmed, but not recorded.
+  kStaleTargetMeansNotRun,  // A replaced node reports "not run" for attempts of
+                            // its predecessor.
+  kLostMeansNotOpened,      // A lost connection is reported as never opened.
+  kAnswersAtDeadline,  // The ingress sends an extra answer at the deadline.
+  kAnswersMisrouted,   // Answers are matched by position in the link.
+  kAcceptsDuplicates,  // Answers are accepted from any connection.
 };
 
 enum class EventKind : uint8_t {
@@ -43,11 +44,12 @@
 
 struct Event {
   EventKind kind = EventKind::kArrive;
-  uint32_t pick = 0;  // Which message, node or call, modulo how many there are.
+  uint32_t pick =
+      0;  // Index of the message, node or call, modulo their number.
 };
 
 struct Violations {
-  bool ran_twice = false;  // What may not be repeated.
+  bool ran_twice = false;  // A request that is not repeatable.
   bool false_not_run = false;
   bool wrong_answer_count = false;
   bool misrouted_answer = false;
@@ -61,8 +63,8 @@
  public:
   explicit CallSimulation(Defect defect);
 
-  // Lets `events` happen; then all deadlines pass, and what is still in the
-  // link arrives.
+  // Applies `events`, then lets all deadlines pass and delivers the messages
+  // left in the link.
   Violations Run(const std::vector<Event>& events);
 
  private:
@@ -78,13 +80,12 @@
     size_t call = 0;
     int attempt = 0;
     size_t node = 0;
-    uint64_t incarnation = 0;  // Of the node that is meant.
+    uint64_t incarnation = 0;  // Of the target node.
     bool cancel = false;
-    bool is_duplicate =
-        false;                // Came by another connection than it was sent on.
-    calls::AttemptEnd end{};  // kAttemptReply
-    calls::AttemptStatus state =
-        calls::AttemptStatus::kNoAnswer;  // kStatusReply
+    bool is_duplicate = false;  // Arrives on another connection.
+    calls::AttemptEnd end{};    // For kAttemptReply.
+    // For kStatusReply.
+    calls::AttemptStatus state = calls::AttemptStatus::kNoAnswer;
   };
 
   struct Request {
@@ -94,7 +95,8 @@
     int runs = 0;
     int answers = 0;
     bool reported_not_run = false;
-    std::vector<std::pair<size_t, uint64_t>> sent_to;  // Node and its life.
+    // Node and its incarnation, by attempt.
+    std::vector<std::pair<size_t, uint64_t>> sent_to;
   };
 
   struct Node {
--- a/tests/auto/calls/call_test.cc
+++ b/tests/auto/calls/call_test.cc
@@ -1,4 +1,4 @@
-// What becomes of one caller's request, event by event.
+// Tests the state machine of a call event by event.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -19,32 +19,32 @@
 const base::Instant kDeadline = kStart + std::chrono::seconds(2);
 const calls::AttemptEnd kLost = {AttemptVerdict::kLost,
                                  ErrorKind::kConnectionLost};
-const calls::AttemptEnd kBusy = {AttemptVerdict::kRefused,
-                                 ErrorKind::kOverloaded};
+const calls::AttemptEnd kOverloaded = {AttemptVerdict::kRefused,
+                                       ErrorKind::kOverloaded};
 
 Outcome OutcomeOf(const NextSteps& steps) {
   REQUIRE(steps[0].step == Step::kAnswerError);
   return base::AnswerTo(steps[0].error).outcome;
 }
 
-TEST_CASE("a request that may not be repeated") {
+TEST_CASE("a request that is not repeatable") {
   Budgets budgets;
   Call call(CallPolicy{}, kStart, kDeadline, budgets.All());
   REQUIRE(StepsAre(call.Start(kStart), {Step::kSend}));
 
-  SECTION("is relayed the server's answer, and nothing after it") {
+  SECTION("gets the server's answer, and ignores later events") {
     CHECK(StepsAre(call.OnAttemptEnd(0, {AttemptVerdict::kAnswered}, kStart),
                    {Step::kRelayAnswer}));
     CHECK(call.OnAttemptEnd(0, kLost, kStart).empty());
     CHECK(call.OnTimer(kDeadline).empty());
   }
 
-  SECTION("is relayed a failure as it is") {
+  SECTION("gets the server's failure without a retry") {
     CHECK(StepsAre(call.OnAttemptEnd(0, {AttemptVerdict::kFailed}, kStart),
                    {Step::kRelayAnswer}));
   }
 
-  SECTION("is sent elsewhere where it is known not to have run") {
+  SECTION("is sent to another server if it is known not to have run") {
     const auto verdict =
         GENERATE(AttemptVerdict::kRefused, AttemptVerdict::kNotSent);
     const auto error = GENERATE(ErrorKind::kOverloaded, ErrorKind::kStaleTarget,
@@ -55,15 +55,15 @@
     CHECK(OutcomeOf(call.OnAttemptEnd(2, end, kStart)) == Outcome::kNotRun);
   }
 
-  SECTION("is asked about when its connection is lost") {
+  SECTION("is cancelled when its connection is lost") {
     REQUIRE(StepsAre(call.OnAttemptEnd(0, kLost, kStart), {Step::kCancel}));
 
-    SECTION("and sent elsewhere once it is barred") {
+    SECTION("and sent to another server once the cancellation is confirmed") {
       CHECK(StepsAre(
           call.OnStatusReply(0, AttemptStatus::kNeverRuns, true, kStart),
           {Step::kSend}));
     }
-    SECTION("and unknown in every other case") {
+    SECTION("and has an unknown outcome after any other reply") {
       const auto answer =
           GENERATE(AttemptStatus::kQueued, AttemptStatus::kRunning,
                    AttemptStatus::kFinished, AttemptStatus::kUnknownHere,
@@ -71,41 +71,41 @@
       CHECK(OutcomeOf(call.OnStatusReply(0, answer, true, kStart)) ==
             Outcome::kUnknown);
     }
-    SECTION("and unknown if the deadline comes first") {
+    SECTION("and has an unknown outcome if the deadline passes first") {
       CHECK(OutcomeOf(call.OnTimer(kDeadline)) == Outcome::kUnknown);
       CHECK(call.OnStatusReply(0, AttemptStatus::kNeverRuns, true, kDeadline)
                 .empty());
     }
   }
 
-  SECTION("is cancelled a little before its deadline") {
+  SECTION("is cancelled shortly before its deadline") {
     const base::Instant give_up = kDeadline - milliseconds(20);
     CHECK(call.OnTimer(give_up - milliseconds(1)).size() <= 1);
     REQUIRE(StepsAre(call.OnTimer(give_up), {Step::kCancel}));
     CHECK(call.next_timer() == kDeadline);
 
-    SECTION("and told not to have run if that is confirmed") {
+    SECTION("and reported as not run if the cancellation is confirmed") {
       CHECK(OutcomeOf(call.OnStatusReply(0, AttemptStatus::kNeverRuns, true,
                                          give_up)) == Outcome::kNotRun);
     }
-    SECTION("and still relayed an answer if it was running") {
+    SECTION("and still gets the answer if it was running") {
       CHECK(call.OnStatusReply(0, AttemptStatus::kRunning, true, give_up)
                 .empty());
       CHECK(StepsAre(call.OnAttemptEnd(0, {AttemptVerdict::kAnswered}, give_up),
                      {Step::kRelayAnswer}));
     }
-    SECTION("and told the truth at the deadline if nothing is heard") {
+    SECTION("and has an unknown outcome at the deadline without a reply") {
       CHECK(OutcomeOf(call.OnTimer(kDeadline)) == Outcome::kUnknown);
     }
   }
 
-  SECTION("whose caller goes away is cancelled and not answered") {
+  SECTION("is cancelled and not answered if its caller disconnects") {
     CHECK(StepsAre(call.OnCallerDisconnected(kStart), {Step::kAbandon}));
-    CHECK(call.OnAttemptEnd(0, kBusy, kStart).empty());
+    CHECK(call.OnAttemptEnd(0, kOverloaded, kStart).empty());
   }
 }
 
-TEST_CASE("a silent attempt") {
+TEST_CASE("an attempt that is not answered in time") {
   Budgets budgets;
   CallPolicy policy;
   policy.is_repeatable = GENERATE(false, true);
@@ -116,7 +116,7 @@
   REQUIRE(call.next_timer() == silent);
   REQUIRE(StepsAre(call.OnTimer(silent), {Step::kQueryStatus}));
 
-  SECTION("that never arrived is barred, then sent elsewhere") {
+  SECTION("and never arrived is cancelled, then sent to another server") {
     REQUIRE(StepsAre(
         call.OnStatusReply(0, AttemptStatus::kUnknownHere, false, silent),
         {Step::kCancel}));
@@ -124,12 +124,12 @@
         StepsAre(call.OnStatusReply(0, AttemptStatus::kNeverRuns, true, silent),
                  {Step::kCloseConnection, Step::kSend}));
   }
-  SECTION("that runs is asked about again, at twice the interval") {
+  SECTION("and is running is queried again after twice the interval") {
     CHECK(
         call.OnStatusReply(0, AttemptStatus::kRunning, false, silent).empty());
     CHECK(call.next_timer() == silent + milliseconds(100));
   }
-  SECTION("that finished without an answer is lost") {
+  SECTION("and finished without an answer is treated as lost") {
     CHECK(
         call.OnStatusReply(0, AttemptStatus::kFinished, false, silent).empty());
     const base::Instant later = call.next_timer();
@@ -142,7 +142,7 @@
     else
       CHECK(StepsAre(steps, {Step::kCloseConnection, Step::kCancel}));
   }
-  SECTION("whose node cannot be asked is repeated if it may be") {
+  SECTION("and whose node does not reply is retried if repeatable") {
     const auto steps =
         call.OnStatusReply(0, AttemptStatus::kNoAnswer, false, silent);
     CHECK(steps.size() == (policy.is_repeatable ? 1 : 0));
@@ -150,28 +150,29 @@
   }
 }
 
-TEST_CASE("a request that may be repeated") {
+TEST_CASE("a repeatable request") {
   Budgets budgets;
   CallPolicy policy = Repeatable();
 
-  SECTION("whose first attempt may have run is never said not to have run") {
+  SECTION("is never reported as not run if an attempt may have run") {
     Call call(policy, kStart, kDeadline, budgets.All());
     call.Start(kStart);
     REQUIRE(StepsAre(call.OnAttemptEnd(0, kLost, kStart),
                      {Step::kCancel, Step::kSend}));
     CHECK(call.OnStatusReply(0, AttemptStatus::kRunning, true, kStart).empty());
-    REQUIRE(StepsAre(call.OnAttemptEnd(1, kBusy, kStart), {Step::kSend}));
-    CHECK(OutcomeOf(call.OnAttemptEnd(2, kBusy, kStart)) == Outcome::kUnknown);
+    REQUIRE(StepsAre(call.OnAttemptEnd(1, kOverloaded, kStart), {Step::kSend}));
+    CHECK(OutcomeOf(call.OnAttemptEnd(2, kOverloaded, kStart)) ==
+          Outcome::kUnknown);
   }
 
-  SECTION("is hedged after the learned delay") {
+  SECTION("is hedged after the hedge delay") {
     policy.hedge_delay = milliseconds(30);
     Call call(policy, kStart, kDeadline, budgets.All());
     call.Start(kStart);
     const base::Instant due = kStart + milliseconds(30);
     REQUIRE(call.next_timer() == due);
     REQUIRE(StepsAre(call.OnTimer(due), {Step::kSend}));
-    SECTION("the first answer wins and the other attempt is cancelled") {
+    SECTION("the first answer is relayed and the other attempt cancelled") {
       const int winner = GENERATE(0, 1);
       const auto steps =
           call.OnAttemptEnd(winner, {AttemptVerdict::kAnswered}, due);
@@ -179,12 +180,12 @@
       CHECK(steps[0].attempt == winner);
       CHECK(steps[1].attempt == 1 - winner);
     }
-    SECTION("a refused hedge leaves the first attempt alone") {
-      CHECK(call.OnAttemptEnd(1, kBusy, due).empty());
+    SECTION("a refused hedge does not affect the first attempt") {
+      CHECK(call.OnAttemptEnd(1, kOverloaded, due).empty());
     }
   }
 
-  SECTION("is relayed the failure if there is nowhere else to send it") {
+  SECTION("gets the server's failure if there is no other server") {
     Call call(policy, kStart, kDeadline, budgets.All());
     call.Start(kStart);
     REQUIRE(StepsAre(call.OnAttemptEnd(0, {AttemptVerdict::kFailed}, kStart),
@@ -194,7 +195,7 @@
     CHECK(steps[0].attempt == 0);
   }
 
-  SECTION("is not repeated where a level above repeats") {
+  SECTION("is not retried or hedged if a level above retries") {
     policy.is_retried_above = true;
     policy.hedge_delay = milliseconds(30);
     Call call(policy, kStart, kDeadline, budgets.All());
@@ -204,7 +205,7 @@
                    {Step::kRelayAnswer}));
   }
 
-  SECTION("is not repeated beyond the budget") {
+  SECTION("is not retried once the budget is used up") {
     for (int i = 0; i < 5; ++i)
       budgets.node.TryTake();
     Call call(policy, kStart, kDeadline, budgets.All());
--- a/tests/auto/calls/moved_call_test.cc
+++ b/tests/auto/calls/moved_call_test.cc
@@ -1,5 +1,5 @@
-// A request that nodes hand back before a server saw it, and one whose servers
-// count against the fleet's second attempts.
+// Tests requests that nodes return before they reached a server, and refusals
+// by servers that count towards the fleet's retry limit.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -15,61 +15,62 @@
 using calls::Step;
 
 const base::Instant kDeadline = kStart + std::chrono::seconds(2);
-const calls::AttemptEnd kHandedBack = {AttemptVerdict::kRefused,
-                                       ErrorKind::kServerSlow};
-const calls::AttemptEnd kShed = {AttemptVerdict::kRefused,
-                                 ErrorKind::kServerShed};
+const calls::AttemptEnd kReturned = {AttemptVerdict::kRefused,
+                                     ErrorKind::kServerSlow};
+const calls::AttemptEnd kShedByServer = {AttemptVerdict::kRefused,
+                                         ErrorKind::kServerShed};
 
 CallPolicy OneServerThreeMoves() {
   CallPolicy policy;
   policy.most_servers = 1;
-  policy.most_sends = 4;
+  policy.max_sends = 4;
   policy.counts_server_refusals = true;
   return policy;
 }
 
-TEST_CASE("what is handed back unrun goes on, and costs no second attempt") {
+TEST_CASE("a request returned unrun moves on without using the retry budget") {
   Budgets budgets;
   budgets.service = calls::RetryBudget::Empty(0, 5);
   Call call(OneServerThreeMoves(), kStart, kDeadline, budgets.All());
   REQUIRE(StepsAre(call.Start(kStart), {Step::kSend}));
-  REQUIRE(StepsAre(call.OnAttemptEnd(0, kHandedBack, kStart), {Step::kSend}));
-  REQUIRE(StepsAre(call.OnAttemptEnd(1, kHandedBack, kStart), {Step::kSend}));
-  REQUIRE(StepsAre(call.OnAttemptEnd(2, kHandedBack, kStart), {Step::kSend}));
+  REQUIRE(StepsAre(call.OnAttemptEnd(0, kReturned, kStart), {Step::kSend}));
+  REQUIRE(StepsAre(call.OnAttemptEnd(1, kReturned, kStart), {Step::kSend}));
+  REQUIRE(StepsAre(call.OnAttemptEnd(2, kReturned, kStart), {Step::kSend}));
 
-  SECTION("until all that it may be sent to have") {
-    const auto steps = call.OnAttemptEnd(3, kHandedBack, kStart);
+  SECTION("until the maximum number of sends is reached") {
+    const auto steps = call.OnAttemptEnd(3, kReturned, kStart);
     REQUIRE(StepsAre(steps, {Step::kAnswerError}));
     CHECK(steps[0].error == ErrorKind::kServerSlow);
   }
-  SECTION("and is relayed the answer in the end") {
+  SECTION("and gets the answer of the server that accepts it") {
     CHECK(StepsAre(call.OnAttemptEnd(3, {AttemptVerdict::kAnswered}, kStart),
                    {Step::kRelayAnswer}));
   }
 }
 
-TEST_CASE("a server's own refusal uses up one of the servers") {
+TEST_CASE("a refusal by the server itself counts towards the server limit") {
   Budgets budgets;
   CallPolicy policy = OneServerThreeMoves();
 
-  SECTION("of one: there is no other") {
+  SECTION("with a limit of one, no other server is tried") {
     Call call(policy, kStart, kDeadline, budgets.All());
     call.Start(kStart);
-    CHECK(StepsAre(call.OnAttemptEnd(0, kShed, kStart), {Step::kAnswerError}));
+    CHECK(StepsAre(call.OnAttemptEnd(0, kShedByServer, kStart),
+                   {Step::kAnswerError}));
   }
-  SECTION("of two: the second, if the fleet may spend one") {
+  SECTION("with a limit of two, a second is tried if the budget allows it") {
     policy.most_servers = 2;
     const bool may = GENERATE(true, false);
     if (!may)
       budgets.service = calls::RetryBudget::Empty(0, 5);
     Call call(policy, kStart, kDeadline, budgets.All());
     call.Start(kStart);
-    CHECK(StepsAre(call.OnAttemptEnd(0, kShed, kStart),
+    CHECK(StepsAre(call.OnAttemptEnd(0, kShedByServer, kStart),
                    {may ? Step::kSend : Step::kAnswerError}));
   }
 }
 
-TEST_CASE("a hedge that is handed back looks for another server") {
+TEST_CASE("a hedge that is returned is sent to another server") {
   Budgets budgets;
   CallPolicy policy = OneServerThreeMoves();
   policy.is_repeatable = true;
@@ -79,9 +80,9 @@
   call.Start(kStart);
   const auto later = kStart + milliseconds(100);
   REQUIRE(StepsAre(call.OnTimer(later), {Step::kSend}));
-  REQUIRE(StepsAre(call.OnAttemptEnd(1, kHandedBack, later), {Step::kSend}));
+  REQUIRE(StepsAre(call.OnAttemptEnd(1, kReturned, later), {Step::kSend}));
 
-  SECTION("and the first to answer is relayed, the other is abandoned") {
+  SECTION("and the first answer is relayed, the other attempt abandoned") {
     const auto steps = call.OnAttemptEnd(2, {AttemptVerdict::kAnswered}, later);
     CHECK(StepsAre(steps, {Step::kRelayAnswer, Step::kAbandon}));
   }
--- a/tests/auto/calls/return_time_test.cc
+++ b/tests/auto/calls/return_time_test.cc
@@ -1,4 +1,4 @@
-// When refused callers are told to come back.
+// Tests the delay after which refused callers should retry.
 #include "calls/retry_delay.h"
 
 #include <catch2/catch.hpp>
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-TEST_CASE("callers come back while an answer can still be of use") {
+TEST_CASE("the delay leaves time for an answer before the deadline") {
   base::Random random(3);
   for (int i = 0; i < 1000; ++i) {
     const auto time =
@@ -19,15 +19,15 @@
   }
 }
 
-TEST_CASE("they come back sooner where there is room sooner") {
+TEST_CASE("the delay is shorter if capacity is expected sooner") {
   base::Random random(3);
   CHECK(RetryDelay(milliseconds(40), std::chrono::seconds(10), random) <=
         milliseconds(40));
 }
 
-TEST_CASE("those refused together do not return together") {
+TEST_CASE("the delays of callers refused together are spread") {
   base::Random random(3);
-  std::set<int64_t> slots;  // Of ten milliseconds.
+  std::set<int64_t> slots;  // Each 10 ms long.
   for (int i = 0; i < 100; ++i) {
     const auto time =
         RetryDelay(std::chrono::seconds(1), std::chrono::seconds(1), random);
@@ -36,7 +36,7 @@
   CHECK(slots.size() > 10);
 }
 
-TEST_CASE("without time left there is no time to wait") {
+TEST_CASE("the delay is zero after the deadline") {
   base::Random random(3);
   CHECK(RetryDelay(milliseconds(40), -milliseconds(5), random) ==
         base::Duration::zero());
