--- a/src/libs/gate/keyed_requests.cc
+++ b/src/libs/gate/keyed_requests.cc
@@ -13,7 +13,7 @@
 
 using base::ErrorKind;
 using keys::ClaimVerdict;
-using keys::Standing;
+using keys::OwnershipStatus;
 
 // Set by the ingress node on each request that is bound to its key's owner.
 std::string_view KeyAge(const net::HttpRequest& request) {
@@ -21,18 +21,17 @@
 }
 
 // Nothing if the key may be used.
-std::optional<net::HttpAnswer> AnswerTo(const keys::StandingAnswer& standing) {
-  switch (standing.standing) {
-    case Standing::kRuns:
+std::optional<net::HttpAnswer> AnswerTo(const keys::OwnershipDecision& status) {
+  switch (status.status) {
+    case OwnershipStatus::kMayRun:
       return std::nullopt;
-    case Standing::kUncertain:
-      return net::MakeErrorAnswer(ErrorKind::kKeyUncertain,
-                                  standing.retry_after);
-    case Standing::kSettling:
+    case OwnershipStatus::kUncertain:
+      return net::MakeErrorAnswer(ErrorKind::kKeyUncertain, status.retry_after);
+    case OwnershipStatus::kSettling:
       return net::MakeErrorAnswer(ErrorKind::kKeyRecordUnavailable,
-                                  standing.retry_after);
-    case Standing::kNotOwner:
-    case Standing::kNoValidView:
+                                  status.retry_after);
+    case OwnershipStatus::kNotOwner:
+    case OwnershipStatus::kNoValidView:
       break;
   }
   return net::MakeErrorAnswer(ErrorKind::kKeyRecordUnavailable);
@@ -63,7 +62,7 @@
 
 KeyedRequests::KeyedRequests(base::NodeId self)
     : ownership_(self, keys::OwnershipOptions{}),
-      ledger_(keys::LedgerLimits{}) {}
+      ledger_(keys::KeyRecordLimits{}) {}
 
 void KeyedRequests::SetView(std::vector<keys::OwnerNode> nodes,
                             base::Instant as_of) {
@@ -85,12 +84,12 @@
   keys::KeyScope scope{head.service, head.tenant,
                        std::string(net::FindHeader(
                            request.headers, wire::kIdempotencyKeyHeader))};
-  const auto standing =
-      ownership_.StandingOf(scope.Hash(), base::ParseDuration(age), now);
+  const auto status =
+      ownership_.StatusOf(scope.Hash(), base::ParseDuration(age), now);
   // What is on record here is known whatever happened to the ownership.
-  const bool is_known = ledger_.Knows(scope);
+  const bool is_known = ledger_.Contains(scope);
   if (!is_known) {
-    if (auto answer = AnswerTo(standing))
+    if (auto answer = AnswerTo(status))
       return answer;
   }
   const auto claim = ledger_.Begin(scope, keys::Fingerprint(request), now);
@@ -109,7 +108,7 @@
                                base::Instant now) {
   auto ended = active_.extract(attempt);
   if (!ended.empty())
-    ledger_.OnAnswerNotKept(ended.mapped(), now);
+    ledger_.OnAnswerDiscarded(ended.mapped(), now);
 }
 
 void KeyedRequests::OnEnd(const base::AttemptId& attempt,
--- a/src/libs/gate/keyed_requests.h
+++ b/src/libs/gate/keyed_requests.h
@@ -10,8 +10,8 @@
 #include "base/attempt_id.h"
 #include "base/node_id.h"
 #include "base/time.h"
-#include "keys/key_ledger.h"
 #include "keys/key_ownership.h"
+#include "keys/key_record_store.h"
 #include "keys/key_scope.h"
 #include "net/http_message.h"
 #include "wire/peer_request_head.h"
@@ -44,7 +44,7 @@
 
  private:
   keys::KeyOwnership ownership_;
-  keys::KeyLedger ledger_;
+  keys::KeyRecordStore ledger_;
   absl::flat_hash_map<base::AttemptId, keys::KeyScope> active_;
 };
 
--- a/src/libs/ingress/active_call.h
+++ b/src/libs/ingress/active_call.h
@@ -34,15 +34,15 @@
 struct ActiveCall {
   CallId id = 0;
   ServiceTraffic* service = nullptr;
-  calls::Call decision;
+  calls::Call state_machine;
   base::Instant arrived_at;
   bool is_nested = false;  // Made by this node's server for one that it runs.
   int hedges = 0;
   CallerRequest request;
   net::Reply reply;
   std::vector<SentAttempt> attempts;  // By their numbers.
-  std::vector<base::NodeId> tried;
-  std::vector<base::NodeId> handed_back;  // Of them: unrun, and may be asked
+  std::vector<base::NodeId> tried_nodes;
+  std::vector<base::NodeId> returned_by;  // Of them: unrun, and may be asked
                                           // again when there is no other.
   net::EventLoop::TimerId timer = 0;
   base::Instant timer_at;
--- a/src/libs/ingress/attempt_canceller.cc
+++ b/src/libs/ingress/attempt_canceller.cc
@@ -7,34 +7,34 @@
 // together end within half a second, the time in which work for a caller that
 // left is to stop.
 constexpr std::chrono::milliseconds kTimeout(150);
-constexpr int kMostQuestions = 3;
+constexpr int kMaxRequests = 3;
 
 }  // namespace
 
 AttemptCanceller::AttemptCanceller(AttemptSender& sender,
-                                   AttemptSettler& settler)
-    : sender_(sender), settler_(settler) {}
+                                   AttemptControlClient& control_client)
+    : sender_(sender), control_client_(control_client) {}
 
 void AttemptCanceller::Cancel(const routing::ServerCandidate& server,
                               const base::AttemptId& attempt,
-                              Question question) {
+                              AttemptCommand command) {
   sender_.Abandon(attempt);
-  Ask(server, attempt, question, 0);
+  Ask(server, attempt, command, 0);
 }
 
 void AttemptCanceller::Ask(const routing::ServerCandidate& server,
                            const base::AttemptId& attempt,
-                           Question question,
-                           int asked) {
-  settler_.Settle(
-      server, attempt, question, kTimeout,
-      [this, server, attempt, question, asked](calls::AttemptStatus answer) {
-        if (answer != calls::AttemptStatus::kNoAnswer)
-          return;
-        sender_.Drop(attempt);
-        if (asked + 1 < kMostQuestions)
-          Ask(server, attempt, question, asked + 1);
-      });
+                           AttemptCommand command,
+                           int sent_count) {
+  control_client_.SendCommand(server, attempt, command, kTimeout,
+                              [this, server, attempt, command,
+                               sent_count](calls::AttemptStatus answer) {
+                                if (answer != calls::AttemptStatus::kNoAnswer)
+                                  return;
+                                sender_.Drop(attempt);
+                                if (sent_count + 1 < kMaxRequests)
+                                  Ask(server, attempt, command, sent_count + 1);
+                              });
 }
 
 }  // namespace chestnutport::ingress
--- a/src/libs/ingress/attempt_settler.cc
+++ b/src/libs/ingress/attempt_control_client.cc
@@ -1,4 +1,4 @@
-#include "ingress/attempt_settler.h"
+#include "ingress/attempt_control_client.h"
 
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -44,24 +44,25 @@
 
 }  // namespace
 
-AttemptSettler::AttemptSettler(net::EventLoop& loop,
-                               control_calls::PeerKeys keys)
+AttemptControlClient::AttemptControlClient(net::EventLoop& loop,
+                                           control_calls::PeerKeys keys)
     : keys_(std::move(keys)), client_(loop, net::HttpClientOptions::Fresh()) {}
 
-void AttemptSettler::Settle(const routing::ServerCandidate& server,
-                            const base::AttemptId& attempt,
-                            Question question,
-                            base::Duration timeout,
-                            Handler handler) {
+void AttemptControlClient::SendCommand(const routing::ServerCandidate& server,
+                                       const base::AttemptId& attempt,
+                                       AttemptCommand command,
+                                       base::Duration timeout,
+                                       Handler handler) {
   wire::PeerRequestHead head;
   head.attempt = attempt;
   head.target = server.node;
   head.remaining = timeout;
   net::HttpRequest request{.method = "POST", .target = traffic::kSettlePath};
   head.AppendTo(request.headers, keys_.current);
-  const nlohmann::json params = {{"attempt", attempt.ToString()},
-                                 {"cancel", question != Question::kQueryStatus},
-                                 {"stop_running", question == Question::kStop}};
+  const nlohmann::json params = {
+      {"attempt", attempt.ToString()},
+      {"cancel", command != AttemptCommand::kQueryStatus},
+      {"stop_running", command == AttemptCommand::kStop}};
   request.body = rpc::EncodeCall(traffic::kSettleMethod, params.dump());
   client_.Send(
       server.peer_address, std::move(request), timeout,
--- a/src/libs/ingress/attempt_settler.h
+++ b/src/libs/ingress/attempt_control_client.h
@@ -1,7 +1,7 @@
 // Asks another node's gate what became of an attempt, and may bar it from
 // starting.
-#ifndef INGRESS_ATTEMPT_SETTLER_H_
-#define INGRESS_ATTEMPT_SETTLER_H_
+#ifndef INGRESS_ATTEMPT_CONTROL_CLIENT_H_
+#define INGRESS_ATTEMPT_CONTROL_CLIENT_H_
 
 #include <functional>
 
@@ -13,25 +13,25 @@
 
 namespace chestnutport::ingress {
 
-enum class Question {
+enum class AttemptCommand {
   kQueryStatus,  // Changes nothing.
   kCancel,       // An attempt that has not started never will.
   kStop,         // The same, and one that runs is cut off.
 };
 
-class AttemptSettler {
+class AttemptControlClient {
  public:
   using Handler = std::function<void(calls::AttemptStatus)>;
 
   // A client of its own, so that a question never waits behind, nor travels
   // on, a connection that went silent.
-  AttemptSettler(net::EventLoop& loop, control_calls::PeerKeys keys);
+  AttemptControlClient(net::EventLoop& loop, control_calls::PeerKeys keys);
 
-  void Settle(const routing::ServerCandidate& server,
-              const base::AttemptId& attempt,
-              Question question,
-              base::Duration timeout,
-              Handler handler);
+  void SendCommand(const routing::ServerCandidate& server,
+                   const base::AttemptId& attempt,
+                   AttemptCommand command,
+                   base::Duration timeout,
+                   Handler handler);
 
  private:
   control_calls::PeerKeys keys_;
@@ -40,4 +40,4 @@
 
 }  // namespace chestnutport::ingress
 
-#endif  // INGRESS_ATTEMPT_SETTLER_H_
+#endif  // INGRESS_ATTEMPT_CONTROL_CLIENT_H_
--- a/src/libs/ingress/attempt_sender.cc
+++ b/src/libs/ingress/attempt_sender.cc
@@ -24,11 +24,11 @@
 // Bodies from this size on, in bytes, are sent only to a gate that has a place.
 // A round trip between nodes costs a millisecond; 8 kB take 5 ms of a link of
 // 12 Mbit/s, and a request is handed back several times when servers are full.
-constexpr size_t kLeastInquired = 8 * 1024;
+constexpr size_t kMinInquiryBytes = 8 * 1024;
 // A gate that has to ask its server first answers within some 20 ms.
 constexpr std::chrono::milliseconds kInquiryTimeout(150);
 
-net::HttpClientOptions PeerConnections() {
+net::HttpClientOptions PeerClientOptions() {
   net::HttpClientOptions options;
   options.connect_timeout = kConnectTimeout;
   return options;
@@ -86,7 +86,7 @@
 }  // namespace
 
 AttemptSender::AttemptSender(net::EventLoop& loop, control_calls::PeerKeys keys)
-    : loop_(loop), keys_(std::move(keys)), client_(loop, PeerConnections()) {}
+    : loop_(loop), keys_(std::move(keys)), client_(loop, PeerClientOptions()) {}
 
 void AttemptSender::Send(ServiceTraffic& service,
                          const routing::ServerCandidate& server,
@@ -101,20 +101,21 @@
   sent.sent_at = now;
   sent.method = request.method;
   sent.handler = std::move(handler);
-  Held held{head, server.peer_address, std::move(request)};
-  if (held.request.body.size() >= kLeastInquired) {
-    sent.held = std::make_unique<Held>(std::move(held));
-    Inquire(sent);
+  PendingRequest pending{head, server.peer_address, std::move(request)};
+  if (pending.request.body.size() >= kMinInquiryBytes) {
+    sent.pending = std::make_unique<PendingRequest>(std::move(pending));
+    InquireCapacity(sent);
   } else {
-    Transmit(sent, std::move(held));
+    Transmit(sent, std::move(pending));
   }
 }
 
-void AttemptSender::Transmit(InFlight& sent, Held held) {
-  const base::AttemptId attempt = held.head.attempt;
-  held.head.AppendTo(held.request.headers, keys_.current);
+void AttemptSender::Transmit(InFlight& sent, PendingRequest pending) {
+  const base::AttemptId attempt = pending.head.attempt;
+  pending.head.AppendTo(pending.request.headers, keys_.current);
   sent.transfer = client_.Stream(
-      held.to, std::move(held.request), held.head.remaining + kTransferSlack,
+      pending.to, std::move(pending.request),
+      pending.head.remaining + kTransferSlack,
       [this, attempt](const net::HttpAnswer& answer) {
         return StartRelay(attempt, answer);
       },
@@ -126,20 +127,20 @@
       });
 }
 
-void AttemptSender::Inquire(InFlight& sent) {
-  const Held& held = *sent.held;
+void AttemptSender::InquireCapacity(InFlight& sent) {
+  const PendingRequest& pending = *sent.pending;
   net::HttpRequest inquiry{.method = "POST", .target = traffic::kInquiryPath};
-  held.head.AppendTo(inquiry.headers, keys_.current);
+  pending.head.AppendTo(inquiry.headers, keys_.current);
   sent.transfer = client_.Send(
-      held.to, std::move(inquiry),
-      std::min<base::Duration>(held.head.remaining, kInquiryTimeout),
-      [this, attempt = held.head.attempt](net::TransferResult result) {
-        OnInquired(attempt, std::move(result));
+      pending.to, std::move(inquiry),
+      std::min<base::Duration>(pending.head.remaining, kInquiryTimeout),
+      [this, attempt = pending.head.attempt](net::TransferResult result) {
+        OnCapacityReply(attempt, std::move(result));
       });
 }
 
-void AttemptSender::OnInquired(const base::AttemptId& attempt,
-                               net::TransferResult result) {
+void AttemptSender::OnCapacityReply(const base::AttemptId& attempt,
+                                    net::TransferResult result) {
   const auto found = in_flight_.find(attempt);
   if (found == in_flight_.end())
     return;
@@ -154,18 +155,18 @@
     OnDone(attempt, std::move(result));
     return;
   }
-  Held held = *std::exchange(sent.held, nullptr);
+  PendingRequest pending = *std::exchange(sent.pending, nullptr);
   const base::Duration waited = loop_.now() - sent.sent_at;
-  held.head.remaining = std::max<base::Duration>(
-      held.head.remaining - waited, wire::PeerRequestHead::kLeastRemaining);
-  if (held.head.target_in) {
-    held.head.target_in =
-        std::max<base::Duration>(*held.head.target_in - waited, {});
+  pending.head.remaining = std::max<base::Duration>(
+      pending.head.remaining - waited, wire::PeerRequestHead::kLeastRemaining);
+  if (pending.head.target_in) {
+    pending.head.target_in =
+        std::max<base::Duration>(*pending.head.target_in - waited, {});
   }
   // The way of the body is paid for: it is not handed back any more.
-  held.head.may_move = false;
-  held.head.may_move_if_full = false;
-  Transmit(sent, std::move(held));
+  pending.head.may_move = false;
+  pending.head.may_move_if_full = false;
+  Transmit(sent, std::move(pending));
 }
 
 void AttemptSender::Relay(const base::AttemptId& attempt,
@@ -179,7 +180,7 @@
   InFlight& sent = found->second;
   sent.relay = std::make_unique<traffic::AnswerRelay>(
       client_, sent.transfer, std::move(answer), std::move(reply),
-      [this, attempt] { GiveUp(attempt); });
+      [this, attempt] { CancelStream(attempt); });
 }
 
 bool AttemptSender::StartRelay(const base::AttemptId& attempt,
@@ -200,7 +201,7 @@
     handler(end, head);
   const auto still = in_flight_.find(attempt);
   if (still != in_flight_.end() && !still->second.relay)
-    GiveUp(attempt);
+    CancelStream(attempt);
   return true;
 }
 
@@ -211,7 +212,7 @@
          found->second.relay->Write(part);
 }
 
-void AttemptSender::GiveUp(const base::AttemptId& attempt) {
+void AttemptSender::CancelStream(const base::AttemptId& attempt) {
   const auto given_up = in_flight_.extract(attempt);
   if (given_up.empty())
     return;
--- a/src/libs/ingress/attempt_sender.h
+++ b/src/libs/ingress/attempt_sender.h
@@ -53,7 +53,7 @@
 
  private:
   // A request whose body is sent once its gate has a place for it.
-  struct Held {
+  struct PendingRequest {
     wire::PeerRequestHead head;
     base::SocketAddress to;
     net::HttpRequest request;
@@ -64,21 +64,22 @@
     base::Instant sent_at;
     net::HttpClient::TransferId transfer = 0;
     std::string method;
-    std::unique_ptr<Held> held;  // Until the place is found free.
-    Handler handler;             // Empty once abandoned.
+    std::unique_ptr<PendingRequest> pending;  // Until the place is found free.
+    Handler handler;                          // Empty once abandoned.
     bool is_streamed = false;
     std::unique_ptr<traffic::AnswerRelay>
         relay;  // Of an answer that is streamed.
   };
 
-  void Transmit(InFlight& sent, Held held);
+  void Transmit(InFlight& sent, PendingRequest pending);
   // Asks the gate, with the head alone, whether it has a place.
-  void Inquire(InFlight& sent);
-  void OnInquired(const base::AttemptId& attempt, net::TransferResult result);
+  void InquireCapacity(InFlight& sent);
+  void OnCapacityReply(const base::AttemptId& attempt,
+                       net::TransferResult result);
   bool StartRelay(const base::AttemptId& attempt, const net::HttpAnswer& head);
   bool RelayPart(const base::AttemptId& attempt, std::string_view part);
   // Ends a streamed answer that nobody takes.
-  void GiveUp(const base::AttemptId& attempt);
+  void CancelStream(const base::AttemptId& attempt);
 
   void OnDone(const base::AttemptId& attempt, net::TransferResult result);
 
--- a/src/libs/ingress/call_log.cc
+++ b/src/libs/ingress/call_log.cc
@@ -14,7 +14,7 @@
 
 constexpr int kServerError = 500;
 // Bytes of the attempts in a line; a value of a line has 200 at most.
-constexpr size_t kLongestSent = 180;
+constexpr size_t kMaxAttemptsLength = 180;
 
 std::string_view NameOf(calls::AttemptVerdict verdict) {
   switch (verdict) {
@@ -74,7 +74,7 @@
     if (attempt.sent_at == base::Instant())
       continue;  // No server was found for it.
     const std::string one = Describe(attempt, call.arrived_at, now);
-    if (!text.empty() && text.size() + one.size() > kLongestSent)
+    if (!text.empty() && text.size() + one.size() > kMaxAttemptsLength)
       break;
     text = text.empty() ? one : absl::StrCat(one, " ", text);
   }
--- a/src/libs/ingress/caller_protocol.h
+++ b/src/libs/ingress/caller_protocol.h
@@ -39,7 +39,7 @@
   { protocol.RequestId(request) } -> std::same_as<std::string>;
   // Whether callers wait for parts of a second, so that it is worth telling
   // them the time that suits them best.
-  { protocol.TellsReturnTime() } -> std::same_as<bool>;
+  { protocol.SupportsSubsecondRetryDelay() } -> std::same_as<bool>;
   { protocol.ErrorAnswer(error) } -> std::same_as<net::HttpAnswer>;
 };
 
@@ -61,7 +61,8 @@
                 [protocol](const auto& error) {
                   return protocol.ErrorAnswer(error);
                 },
-            .tells_return_time = protocol.TellsReturnTime()};
+            .supports_subsecond_retry_delay =
+                protocol.SupportsSubsecondRetryDelay()};
   }
 
   std::function<base::Result<CallerRequest>(const declarations::Configuration&,
@@ -71,7 +72,7 @@
   // How the caller names the request; empty: it does not.
   std::function<std::string(const net::HttpRequest&)> request_id;
   std::function<net::HttpAnswer(const CallerError&)> error_answer;
-  bool tells_return_time = false;
+  bool supports_subsecond_retry_delay = false;
 };
 
 }  // namespace chestnutport::ingress
--- a/src/libs/ingress/caller_request.cc
+++ b/src/libs/ingress/caller_request.cc
@@ -23,7 +23,7 @@
     wire::kRetryLevelHeader,  wire::kAttemptNumberHeader, wire::kKeyAgeHeader,
     "Content-Length"};
 
-constexpr size_t kLongestKey = 200;
+constexpr size_t kMaxKeyLength = 200;
 
 std::string_view PathOf(std::string_view target) {
   return target.substr(0, target.find('?'));
@@ -84,7 +84,7 @@
   read.retry_level = ReadLevel(request.headers, wire::kRetryLevelHeader);
   const std::string_view key =
       net::FindHeader(request.headers, wire::kIdempotencyKeyHeader);
-  if (key.size() > kLongestKey)
+  if (key.size() > kMaxKeyLength)
     return base::make_error_code(ErrorKind::kMalformedRequest);
   if (!read.is_repeatable)
     read.idempotency_key = key;
--- a/src/libs/ingress/ingress.cc
+++ b/src/libs/ingress/ingress.cc
@@ -63,8 +63,8 @@
       attempt_origin_(random_()),
       node_retries_(kNodeRetryShare, kNodeRetryBurst),
       sender_(loop, keys),
-      settler_(loop, std::move(keys)),
-      canceller_(sender_, settler_) {}
+      control_client_(loop, std::move(keys)),
+      canceller_(sender_, control_client_) {}
 
 Ingress::~Ingress() {
   for (const auto& [id, call] : calls_)
@@ -72,7 +72,7 @@
   loop_.Cancel(start_timer_);
 }
 
-bool Ingress::IsInformed() const {
+bool Ingress::IsReady() const {
   return snapshot_.configuration->revision > 0 &&
          std::ranges::all_of(
              snapshot_.configuration->services, [this](const auto& service) {
@@ -95,7 +95,7 @@
   listener_ = std::move(opened).value();
   if (start_wait <= base::Duration::zero())
     return listener_->address();
-  listener_->SetAccepting(IsInformed());
+  listener_->SetAccepting(IsReady());
   start_timer_ =
       loop_.CallAfter(start_wait, [this] { listener_->SetAccepting(true); });
   return listener_->address();
@@ -107,7 +107,7 @@
   const declarations::CallerLimits& limits = snapshot_.configuration->limits;
   if (listener_) {
     listener_->set_limits(ListenerLimits(limits));
-    if (IsInformed())
+    if (IsReady())
       listener_->SetAccepting(true);
   }
   for (const auto& declaration : snapshot_.configuration->services) {
@@ -138,32 +138,33 @@
     return;
   const auto class_above = running_.ClassAbove(request.name);
   if (class_above)
-    request.traffic_class = ClassOfCall(request, *class_above);
+    request.traffic_class = EffectiveClass(request, *class_above);
   ServiceTraffic& service = Traffic(request.service);
   const base::Instant now = loop_.now();
-  const calls::Call decision(service.Policy(request), now,
-                             now + request.remaining, service.Budgets());
-  auto call = std::make_unique<ActiveCall>(ActiveCall{.id = ++last_call_,
-                                                      .service = &service,
-                                                      .decision = decision,
-                                                      .arrived_at = now});
+  const calls::Call state_machine(service.Policy(request), now,
+                                  now + request.remaining, service.Budgets());
+  auto call =
+      std::make_unique<ActiveCall>(ActiveCall{.id = ++last_call_,
+                                              .service = &service,
+                                              .state_machine = state_machine,
+                                              .arrived_at = now});
   call->is_nested = class_above.has_value();
   call->request = std::move(request);
   call->reply = std::move(reply);
   const CallId id = call->id;
   call->reply.OnGone([this, id] {
-    Tell(id, [this](ActiveCall& gone) {
+    UpdateCall(id, [this](ActiveCall& gone) {
       LogCallerGone(gone, loop_.now());
-      return gone.decision.OnCallerDisconnected(loop_.now());
+      return gone.state_machine.OnCallerDisconnected(loop_.now());
     });
   });
-  const calls::NextSteps steps = call->decision.Start(now);
+  const calls::NextSteps steps = call->state_machine.Start(now);
   calls_.emplace(id, std::move(call));
-  Follow(id, steps);
+  RunSteps(id, steps);
 }
 
-std::string Ingress::ClassOfCall(const CallerRequest& call,
-                                 const std::string& above) const {
+std::string Ingress::EffectiveClass(const CallerRequest& call,
+                                    const std::string& above) const {
   const auto* service = snapshot_.configuration->FindService(call.service);
   if (!service)
     return call.traffic_class;
@@ -178,15 +179,15 @@
   return own && of_above && *of_above > *own ? above : call.traffic_class;
 }
 
-void Ingress::Follow(CallId id, calls::NextSteps steps) {
+void Ingress::RunSteps(CallId id, calls::NextSteps steps) {
   const auto found = calls_.find(id);
   if (found == calls_.end())
     return;
   ActiveCall& call = *found->second;
   // Grows while it is walked through, if a step leads to others.
   for (size_t i = 0; i < steps.size(); ++i)
-    Perform(call, calls::NextStep(steps[i]), steps);
-  if (!call.decision.IsOver()) {
+    RunStep(call, calls::NextStep(steps[i]), steps);
+  if (!call.state_machine.IsOver()) {
     SetTimer(call);
     return;
   }
@@ -194,7 +195,7 @@
   calls_.erase(id);
 }
 
-void Ingress::Perform(ActiveCall& call,
+void Ingress::RunStep(ActiveCall& call,
                       const calls::NextStep& step,
                       calls::NextSteps& steps) {
   switch (step.step) {
@@ -203,10 +204,10 @@
         steps.push_back(next);
       return;
     case calls::Step::kQueryStatus:
-      Settle(call, step.attempt, false);
+      SendCommand(call, step.attempt, false);
       return;
     case calls::Step::kCancel:
-      Settle(call, step.attempt, true);
+      SendCommand(call, step.attempt, true);
       return;
     case calls::Step::kCloseConnection:
       sender_.Drop(call.attempts[step.attempt].id);
@@ -232,27 +233,27 @@
 
 calls::NextSteps Ingress::SendOrSkip(ActiveCall& call, int attempt) {
   // A verdict may have passed since the request came or was last sent.
-  const auto left = QuarantineLeft(call.request);
+  const auto left = RemainingQuarantine(call.request);
   if (!left && SendAttempt(call, attempt))
     return {};
   call.attempts.resize(attempt + 1);
-  return left ? call.decision.OnQuarantined(attempt, *left, loop_.now())
-              : call.decision.OnNoServer(attempt, loop_.now());
+  return left ? call.state_machine.OnQuarantined(attempt, *left, loop_.now())
+              : call.state_machine.OnNoServer(attempt, loop_.now());
 }
 
 void Ingress::SetTimer(ActiveCall& call) {
-  const base::Instant next = call.decision.next_timer();
+  const base::Instant next = call.state_machine.next_timer();
   // A timer that is too early costs less than one that is set anew each time.
   if (call.timer != 0 && call.timer_at <= next)
     return;
   loop_.Cancel(call.timer);
   call.timer_at = next;
   call.timer = loop_.CallAt(next, [this, id = call.id] {
-    Tell(id, [this](ActiveCall& due) {
+    UpdateCall(id, [this](ActiveCall& due) {
       due.timer = 0;
-      const int attempts = due.decision.attempts();
-      auto steps = due.decision.OnTimer(loop_.now());
-      due.hedges += due.decision.attempts() - attempts;
+      const int attempts = due.state_machine.attempts();
+      auto steps = due.state_machine.OnTimer(loop_.now());
+      due.hedges += due.state_machine.attempts() - attempts;
       return steps;
     });
   });
--- a/src/libs/ingress/ingress.h
+++ b/src/libs/ingress/ingress.h
@@ -16,8 +16,8 @@
 #include "control_calls/peer_keys.h"
 #include "ingress/active_call.h"
 #include "ingress/attempt_canceller.h"
+#include "ingress/attempt_control_client.h"
 #include "ingress/attempt_sender.h"
-#include "ingress/attempt_settler.h"
 #include "ingress/caller_protocol.h"
 #include "ingress/service_traffic.h"
 #include "ingress/traffic_snapshot.h"
@@ -64,14 +64,14 @@
 
  private:
   // Whether it holds a configuration, and knows a server of each service.
-  bool IsInformed() const;
+  bool IsReady() const;
   void OnRequest(net::HttpRequest request, net::Reply reply);
   // A call that a server makes is no more urgent than the request `above` it,
   // which it is made for: the class that it is given.
-  std::string ClassOfCall(const CallerRequest& call,
-                          const std::string& above) const;
+  std::string EffectiveClass(const CallerRequest& call,
+                             const std::string& above) const;
   // For how long the request may be handed to no server; nothing: it may.
-  std::optional<base::Duration> QuarantineLeft(
+  std::optional<base::Duration> RemainingQuarantine(
       const CallerRequest& request) const;
   // Answers a request that servers ended with each time. Returns whether it was
   // one.
@@ -87,15 +87,15 @@
               std::optional<base::ErrorKind> error,
               const net::HttpAnswer& answer);
   // Carries out `steps` and what follows from them.
-  void Follow(CallId id, calls::NextSteps steps);
-  void Perform(ActiveCall& call,
+  void RunSteps(CallId id, calls::NextSteps steps);
+  void RunStep(ActiveCall& call,
                const calls::NextStep& step,
                calls::NextSteps& steps);
   // Null if there is none.
   const routing::ServerCandidate* ChooseServer(const ActiveCall& call,
                                                base::Instant now);
   // The one server that may run a request with an idempotency key.
-  const routing::ServerCandidate* KeyOwner(const CallerRequest& request);
+  const routing::ServerCandidate* ChooseKeyOwner(const CallerRequest& request);
   // Whether servers ended with the request twice, by what this node knows of it
   // or by the call's own attempts.
   bool IsSuspect(const ActiveCall& call) const;
@@ -107,23 +107,23 @@
   const routing::ServerCandidate* ChooseForAttempt(ActiveCall& call,
                                                    base::Instant now);
   // What the gate is told of an attempt whose server is chosen.
-  wire::PeerRequestHead HeadOf(const ActiveCall& call,
-                               int attempt,
-                               base::Instant now) const;
+  wire::PeerRequestHead MakeAttemptHead(const ActiveCall& call,
+                                        int attempt,
+                                        base::Instant now) const;
   // False if there was no server to send to.
   bool SendAttempt(ActiveCall& call, int attempt);
   // The same, unless the request is in quarantine; what follows if it was not
   // sent.
   calls::NextSteps SendOrSkip(ActiveCall& call, int attempt);
-  void Settle(const ActiveCall& call, int attempt, bool cancel);
+  void SendCommand(const ActiveCall& call, int attempt, bool cancel);
   void Abandon(const ActiveCall& call, int attempt);
   void SetTimer(ActiveCall& call);
   // Tells the decision of an event, if the call is still there.
   template <typename Event>
-  void Tell(CallId id, Event event) {
+  void UpdateCall(CallId id, Event event) {
     const auto found = calls_.find(id);
     if (found != calls_.end())
-      Follow(id, event(*found->second));
+      RunSteps(id, event(*found->second));
   }
   ServiceTraffic& Traffic(const std::string& service);
 
@@ -141,7 +141,7 @@
   calls::RetryBudget node_retries_;
   std::map<std::string, std::unique_ptr<ServiceTraffic>, std::less<>> services_;
   AttemptSender sender_;
-  AttemptSettler settler_;
+  AttemptControlClient control_client_;
   AttemptCanceller canceller_;
   traffic::TrafficRecorder recorder_;
   std::unique_ptr<net::HttpServer> listener_;
--- a/src/libs/ingress/ingress_answers.cc
+++ b/src/libs/ingress/ingress_answers.cc
@@ -13,7 +13,7 @@
 namespace {
 
 // A verdict may have run out since it was read.
-constexpr std::chrono::milliseconds kLeastRetryAfter(1);
+constexpr std::chrono::milliseconds kMinRetryAfter(1);
 constexpr int kServerError = 500;
 
 // What the caller is told. A request with a key may have run under it before,
@@ -42,20 +42,19 @@
 
 }  // namespace
 
-std::optional<base::Duration> Ingress::QuarantineLeft(
+std::optional<base::Duration> Ingress::RemainingQuarantine(
     const CallerRequest& request) const {
   const quarantine::VerdictUntil verdict = verdicts_->Of(request.fingerprint);
   // What became of a key is for its owner to say.
   const bool has_key = !request.idempotency_key.empty();
   if (has_key || verdict.verdict != quarantine::Verdict::kQuarantined)
     return std::nullopt;
-  return std::max<base::Duration>(verdict.until - loop_.now(),
-                                  kLeastRetryAfter);
+  return std::max<base::Duration>(verdict.until - loop_.now(), kMinRetryAfter);
 }
 
 bool Ingress::RefuseQuarantined(const CallerRequest& request,
                                 net::Reply& reply) {
-  const auto left = QuarantineLeft(request);
+  const auto left = RemainingQuarantine(request);
   if (!left)
     return false;
   constexpr auto kError = base::ErrorKind::kRequestQuarantined;
@@ -90,9 +89,9 @@
   // A quarantine lasts longer than any deadline: it is told as long as it is.
   const bool is_held = error == base::ErrorKind::kRequestQuarantined ||
                        error == base::ErrorKind::kRequestStopped;
-  if (protocol_.tells_return_time && !is_held) {
+  if (protocol_.supports_subsecond_retry_delay && !is_held) {
     retry_after = calls::RetryDelay(
-        retry_after, call.decision.deadline() - loop_.now(), random_);
+        retry_after, call.state_machine.deadline() - loop_.now(), random_);
   }
   net::HttpAnswer answer =
       protocol_.error_answer({error, retry_after, call.request.name});
@@ -119,7 +118,7 @@
       .error = error,
       .total = loop_.now() - call.arrived_at,
       .server_time = wire::PeerAnswerHead::Read(answer.headers).server_time,
-      .attempts = call.decision.attempts(),
+      .attempts = call.state_machine.attempts(),
       .moves = MovesOf(call),
       .hedges = call.hedges});
 }
--- a/src/libs/ingress/ingress_attempts.cc
+++ b/src/libs/ingress/ingress_attempts.cc
@@ -18,9 +18,9 @@
 namespace chestnutport::ingress {
 namespace {
 
-constexpr std::chrono::milliseconds kSettleTimeout(500);
+constexpr std::chrono::milliseconds kCommandTimeout(500);
 // Also asked at the deadline: the answer may still be there.
-constexpr std::chrono::milliseconds kLeastSettleTimeout(1);
+constexpr std::chrono::milliseconds kMinCommandTimeout(1);
 
 wire::PeerRequestHead MakeHead(const CallerRequest& request) {
   wire::PeerRequestHead head;
@@ -55,11 +55,11 @@
 }
 
 // Those that handed the call back may be asked again.
-void ForgetHandedBack(ActiveCall& call) {
-  std::erase_if(call.tried, [&call](base::NodeId node) {
-    return std::ranges::find(call.handed_back, node) != call.handed_back.end();
+void ReadmitReturnedNodes(ActiveCall& call) {
+  std::erase_if(call.tried_nodes, [&call](base::NodeId node) {
+    return std::ranges::find(call.returned_by, node) != call.returned_by.end();
   });
-  call.handed_back.clear();
+  call.returned_by.clear();
 }
 
 }  // namespace
@@ -67,20 +67,20 @@
 const routing::ServerCandidate* Ingress::ChooseServer(const ActiveCall& call,
                                                       base::Instant now) {
   if (!call.request.idempotency_key.empty())
-    return KeyOwner(call.request);
+    return ChooseKeyOwner(call.request);
   return call.service->chooser().ChooseAdmitted(
-      {.excluded = call.tried,
+      {.excluded = call.tried_nodes,
        .regions = call.request.regions,
-       .prefers_near = !call.is_nested && call.request.depth == 0},
+       .prefers_local_data_centre = !call.is_nested && call.request.depth == 0},
       now, random_);
 }
 
-const routing::ServerCandidate* Ingress::KeyOwner(
+const routing::ServerCandidate* Ingress::ChooseKeyOwner(
     const CallerRequest& request) {
   const keys::KeyScope scope{request.service, request.tenant,
                              request.idempotency_key};
-  return OwnerAmong(scope.Hash(), snapshot_.servers[request.service],
-                    {.regions = request.regions});
+  return FindKeyOwner(scope.Hash(), snapshot_.servers[request.service],
+                      {.regions = request.regions});
 }
 
 bool Ingress::IsSuspect(const ActiveCall& call) const {
@@ -108,19 +108,19 @@
   if (is_under_way || has_ended_one)
     return nullptr;
   if (!call.request.idempotency_key.empty())
-    return KeyOwner(call.request);
-  return OwnerAmong(call.request.fingerprint.value,
-                    snapshot_.servers[call.request.service],
-                    {.excluded = call.tried, .regions = call.request.regions});
+    return ChooseKeyOwner(call.request);
+  return FindKeyOwner(
+      call.request.fingerprint.value, snapshot_.servers[call.request.service],
+      {.excluded = call.tried_nodes, .regions = call.request.regions});
 }
 
 const routing::ServerCandidate* Ingress::ChooseForAttempt(ActiveCall& call,
                                                           base::Instant now) {
   const auto* server = ChooseServer(call, now);
-  if (server || call.handed_back.empty())
+  if (server || call.returned_by.empty())
     return server;
   // All others were tried: the least poor of those that handed it back.
-  ForgetHandedBack(call);
+  ReadmitReturnedNodes(call);
   return ChooseServer(call, now);
 }
 
@@ -132,12 +132,12 @@
       is_suspect ? ChooseForSuspect(call) : ChooseForAttempt(call, now);
   if (!server)
     return false;
-  call.tried.push_back(server->node);
+  call.tried_nodes.push_back(server->node);
   SentAttempt& sent = call.attempts[attempt];
   sent.id = {attempt_origin_, ++last_attempt_};
   sent.server = *server;
   sent.sent_at = now;
-  wire::PeerRequestHead head = HeadOf(call, attempt, now);
+  wire::PeerRequestHead head = MakeAttemptHead(call, attempt, now);
   sent.is_suspect = is_suspect;
   if (is_suspect) {
     head.is_suspect = true;
@@ -151,23 +151,23 @@
       *call.service, sent.server, head, std::move(request),
       [this, id = call.id, attempt](const calls::AttemptEnd& end,
                                     net::HttpAnswer answer) {
-        Tell(id, [&](ActiveCall& ended) {
+        UpdateCall(id, [&](ActiveCall& ended) {
           if (end.error == base::ErrorKind::kServerSlow)
-            ended.handed_back.push_back(ended.attempts[attempt].server.node);
+            ended.returned_by.push_back(ended.attempts[attempt].server.node);
           ended.attempts[attempt].end = end;
           ended.attempts[attempt].ended_at = loop_.now();
           ended.attempts[attempt].answer = std::move(answer);
-          return ended.decision.OnAttemptEnd(attempt, end, loop_.now());
+          return ended.state_machine.OnAttemptEnd(attempt, end, loop_.now());
         });
       });
   return true;
 }
 
-wire::PeerRequestHead Ingress::HeadOf(const ActiveCall& call,
-                                      int attempt,
-                                      base::Instant now) const {
+wire::PeerRequestHead Ingress::MakeAttemptHead(const ActiveCall& call,
+                                               int attempt,
+                                               base::Instant now) const {
   const CallerRequest& request = call.request;
-  const base::Duration remaining = call.decision.deadline() - now;
+  const base::Duration remaining = call.state_machine.deadline() - now;
   wire::PeerRequestHead head = MakeHead(request);
   head.attempt = call.attempts[attempt].id;
   head.target = call.attempts[attempt].server.node;
@@ -177,7 +177,8 @@
     if (call.is_nested)
       head.target_in = calls::NestedTarget(*head.target_in, remaining);
   }
-  const bool has_others = call.service->chooser().size() > call.tried.size();
+  const bool has_others =
+      call.service->chooser().size() > call.tried_nodes.size();
   head.usual_strain = call.service->chooser().UsualStrain();
   head.may_move = has_others && attempt < request.moves.if_degraded;
   head.may_move_if_full = has_others && attempt < request.moves.if_full;
@@ -186,32 +187,35 @@
   return head;
 }
 
-void Ingress::Settle(const ActiveCall& call, int attempt, bool cancel) {
+void Ingress::SendCommand(const ActiveCall& call, int attempt, bool cancel) {
   const SentAttempt& sent = call.attempts[attempt];
-  const base::Instant asked_at = loop_.now();
+  const base::Instant command_sent_at = loop_.now();
   const auto timeout = std::clamp<base::Duration>(
-      call.decision.deadline() - asked_at, kLeastSettleTimeout, kSettleTimeout);
-  settler_.Settle(sent.server, sent.id,
-                  cancel ? Question::kCancel : Question::kQueryStatus, timeout,
-                  [this, id = call.id, attempt, cancel,
-                   asked_at](calls::AttemptStatus answer) {
-                    Tell(id, [&](ActiveCall& asked) {
-                      if (answer != calls::AttemptStatus::kNoAnswer) {
-                        asked.service->timing().OnStatusReply(
-                            loop_.now() - asked_at, loop_.now());
-                      }
-                      return asked.decision.OnStatusReply(attempt, answer,
-                                                          cancel, loop_.now());
-                    });
-                  });
+      call.state_machine.deadline() - command_sent_at, kMinCommandTimeout,
+      kCommandTimeout);
+  control_client_.SendCommand(
+      sent.server, sent.id,
+      cancel ? AttemptCommand::kCancel : AttemptCommand::kQueryStatus, timeout,
+      [this, id = call.id, attempt, cancel,
+       command_sent_at](calls::AttemptStatus answer) {
+        UpdateCall(id, [&](ActiveCall& asked) {
+          if (answer != calls::AttemptStatus::kNoAnswer) {
+            asked.service->timing().OnStatusReply(loop_.now() - command_sent_at,
+                                                  loop_.now());
+          }
+          return asked.state_machine.OnStatusReply(attempt, answer, cancel,
+                                                   loop_.now());
+        });
+      });
 }
 
 void Ingress::Abandon(const ActiveCall& call, int attempt) {
   const SentAttempt& sent = call.attempts[attempt];
   // What may run once only is left to finish: half of it done helps nobody.
-  const Question question =
-      call.request.is_repeatable ? Question::kStop : Question::kCancel;
-  canceller_.Cancel(sent.server, sent.id, question);
+  const AttemptCommand command = call.request.is_repeatable
+                                     ? AttemptCommand::kStop
+                                     : AttemptCommand::kCancel;
+  canceller_.Cancel(sent.server, sent.id, command);
 }
 
 }  // namespace chestnutport::ingress
--- a/src/libs/ingress/key_owner_view.cc
+++ b/src/libs/ingress/key_owner_view.cc
@@ -31,7 +31,7 @@
   return nodes;
 }
 
-const routing::ServerCandidate* OwnerAmong(
+const routing::ServerCandidate* FindKeyOwner(
     uint64_t key_hash,
     std::span<const routing::ServerCandidate> servers,
     const routing::ServerFilter& filter) {
--- a/src/libs/ingress/key_owner_view.h
+++ b/src/libs/ingress/key_owner_view.h
@@ -17,7 +17,7 @@
 
 // The server whose node owns the key, of those that the filter admits; null if
 // there is none.
-const routing::ServerCandidate* OwnerAmong(
+const routing::ServerCandidate* FindKeyOwner(
     uint64_t key_hash,
     std::span<const routing::ServerCandidate> servers,
     const routing::ServerFilter& filter = {});
--- a/src/libs/ingress/own_caller_protocol.cc
+++ b/src/libs/ingress/native_caller_protocol.cc
@@ -1,4 +1,4 @@
-#include "ingress/own_caller_protocol.h"
+#include "ingress/native_caller_protocol.h"
 
 #include <utility>
 
@@ -6,19 +6,20 @@
 
 namespace chestnutport::ingress {
 
-base::Result<CallerRequest> OwnCallerProtocol::Read(
+base::Result<CallerRequest> NativeCallerProtocol::Read(
     const declarations::Configuration& configuration,
     net::HttpRequest request,
     base::Random& /*random*/) const {
   return ReadCallerRequest(configuration, std::move(request));
 }
 
-std::string OwnCallerProtocol::RequestId(
+std::string NativeCallerProtocol::RequestId(
     const net::HttpRequest& /*request*/) const {
   return "";
 }
 
-net::HttpAnswer OwnCallerProtocol::ErrorAnswer(const CallerError& error) const {
+net::HttpAnswer NativeCallerProtocol::ErrorAnswer(
+    const CallerError& error) const {
   return net::MakeErrorAnswer(error.kind, error.retry_after);
 }
 
--- a/src/libs/ingress/service_traffic.cc
+++ b/src/libs/ingress/service_traffic.cc
@@ -11,9 +11,9 @@
 constexpr double kRefusalShare = 0.2;
 constexpr double kRefusalBurst = 20;
 // Of the target latency, after which a second try starts.
-constexpr int kHedgePart = 2;
-constexpr double kQuestionShare = 0.05;
-constexpr double kQuestionBurst = 50;
+constexpr int kHedgeDivisor = 2;
+constexpr double kQueryShare = 0.05;
+constexpr double kQueryBurst = 50;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
       retries_(0, kRetryBurst),
       hedges_(0, kHedgeBurst),
       refusals_(kRefusalShare, kRefusalBurst),
-      questions_(kQuestionShare, kQuestionBurst) {}
+      status_queries_(kQueryShare, kQueryBurst) {}
 
 void ServiceTraffic::SetDeclaration(
     const declarations::ServiceDeclaration& declaration) {
@@ -50,15 +50,15 @@
   // Half of the target is left to the second try; the quantile would come too
   // late where the work varies more than the target allows.
   if (hedge_budget_ > 0 && request.target_latency > base::Duration::zero())
-    policy.hedge_delay = request.target_latency / kHedgePart;
+    policy.hedge_delay = request.target_latency / kHedgeDivisor;
   policy.most_servers = request.most_servers;
-  policy.most_sends = request.most_servers + request.moves.if_degraded;
+  policy.max_sends = request.most_servers + request.moves.if_degraded;
   policy.counts_server_refusals = has_fleet_limit_;
   return policy;
 }
 
 calls::CallBudgets ServiceTraffic::Budgets() {
-  return {retries_, node_retries_, hedges_, refusals_, questions_};
+  return {retries_, node_retries_, hedges_, refusals_, status_queries_};
 }
 
 }  // namespace chestnutport::ingress
--- a/src/libs/ingress/service_traffic.h
+++ b/src/libs/ingress/service_traffic.h
@@ -37,7 +37,7 @@
   calls::RetryBudget retries_;
   calls::RetryBudget hedges_;
   calls::RetryBudget refusals_;
-  calls::RetryBudget questions_;
+  calls::RetryBudget status_queries_;
   calls::AdaptiveTimeouts timing_;
   double hedge_budget_ = 0;
   bool has_fleet_limit_ = false;
--- a/src/libs/keys/key_ownership.cc
+++ b/src/libs/keys/key_ownership.cc
@@ -42,8 +42,8 @@
   if (views_.empty() || views_.back().nodes != nodes)
     views_.push_back({as_of, std::move(nodes)});
   // The oldest that is kept reaches back to before the window.
-  const Instant oldest = as_of - options_.window - options_.settle;
-  while (views_.size() > 1 && views_[1].since <= oldest)
+  const Instant oldest = as_of - options_.reuse_window - options_.settling_time;
+  while (views_.size() > 1 && views_[1].started_at <= oldest)
     views_.pop_front();
   has_majority_ = HasMajority();
   // Meanwhile another may have owned the keys, whatever the views here say.
@@ -51,28 +51,30 @@
     valid_since_ = as_of;
 }
 
-StandingAnswer KeyOwnership::StandingOf(uint64_t key_hash,
-                                        std::optional<Duration> key_age,
-                                        Instant now) const {
+OwnershipDecision KeyOwnership::StatusOf(uint64_t key_hash,
+                                         std::optional<Duration> key_age,
+                                         Instant now) const {
   if (!IsValid(now))
-    return {Standing::kNoValidView};
+    return {OwnershipStatus::kNoValidView};
   if (OwnerOf(key_hash, views_.back().nodes) != self_)
-    return {Standing::kNotOwner};
-  const Instant runs_from = OwnedSince(key_hash) + options_.settle;
+    return {OwnershipStatus::kNotOwner};
+  const Instant runs_from = OwnedSince(key_hash) + options_.settling_time;
   if (now < runs_from)
-    return {Standing::kSettling, runs_from - now};
-  if (key_age && *key_age >= options_.window)
-    return {Standing::kUncertain};
-  const Instant first_use = now - key_age.value_or(options_.window);
+    return {OwnershipStatus::kSettling, runs_from - now};
+  if (key_age && *key_age >= options_.reuse_window)
+    return {OwnershipStatus::kUncertain};
+  const Instant first_use = now - key_age.value_or(options_.reuse_window);
   const bool is_younger =
-      first_use - (key_age ? options_.transit : Duration::zero()) >= runs_from;
+      first_use - (key_age ? options_.max_transit : Duration::zero()) >=
+      runs_from;
   if (is_younger)
-    return {Standing::kRuns};
-  return {Standing::kUncertain, runs_from + options_.window - now};
+    return {OwnershipStatus::kMayRun};
+  return {OwnershipStatus::kUncertain, runs_from + options_.reuse_window - now};
 }
 
 bool KeyOwnership::IsValid(Instant now) const {
-  return !views_.empty() && has_majority_ && now <= as_of_ + options_.validity;
+  return !views_.empty() && has_majority_ &&
+         now <= as_of_ + options_.view_validity;
 }
 
 bool KeyOwnership::HasMajority() const {
@@ -91,13 +93,13 @@
 }
 
 Instant KeyOwnership::OwnedSince(uint64_t key_hash) const {
-  Instant since = views_.back().since;
+  Instant owned_since = views_.back().started_at;
   for (auto view = views_.rbegin(); view != views_.rend(); ++view) {
     if (OwnerOf(key_hash, view->nodes) != self_)
       break;
-    since = view->since;
+    owned_since = view->started_at;
   }
-  return std::max(since, valid_since_);
+  return std::max(owned_since, valid_since_);
 }
 
 }  // namespace chestnutport::keys
--- a/src/libs/keys/key_ownership.h
+++ b/src/libs/keys/key_ownership.h
@@ -35,26 +35,26 @@
 
 struct OwnershipOptions {
   // A view is not acted on for longer.
-  base::Duration validity = std::chrono::seconds(3);
+  base::Duration view_validity = std::chrono::seconds(3);
   // A new owner runs nothing before; all views of the time before have lost
   // their validity by then, if news spreads within the difference.
-  base::Duration settle = std::chrono::seconds(5);
+  base::Duration settling_time = std::chrono::seconds(5);
   // How long a caller may send the same key again after its first use.
-  base::Duration window = std::chrono::minutes(2);
+  base::Duration reuse_window = std::chrono::minutes(2);
   // A request may be on its way to its owner for so long.
-  base::Duration transit = std::chrono::seconds(1);
+  base::Duration max_transit = std::chrono::seconds(1);
 };
 
-enum class Standing {
-  kRuns,       // The owner, which would know of an earlier use.
+enum class OwnershipStatus {
+  kMayRun,     // The owner, which would know of an earlier use.
   kUncertain,  // The owner, but an earlier one may have run the key.
   kSettling,   // The owner, too recently to run anything.
   kNotOwner,
   kNoValidView,  // Cut off, paused, or in a minority.
 };
 
-struct StandingAnswer {
-  Standing standing = Standing::kNoValidView;
+struct OwnershipDecision {
+  OwnershipStatus status = OwnershipStatus::kNoValidView;
   base::Duration retry_after{};  // Of kUncertain and kSettling.
 };
 
@@ -73,16 +73,16 @@
   void SetView(std::vector<OwnerNode> nodes, base::Instant as_of);
 
   // `key_age`: time since the key's first use, if the caller tells it.
-  StandingAnswer StandingOf(uint64_t key_hash,
-                            std::optional<base::Duration> key_age,
-                            base::Instant now) const;
+  OwnershipDecision StatusOf(uint64_t key_hash,
+                             std::optional<base::Duration> key_age,
+                             base::Instant now) const;
 
   // Whether the newest view may be acted on.
   bool IsValid(base::Instant now) const;
 
  private:
   struct View {
-    base::Instant since;
+    base::Instant started_at;
     std::vector<OwnerNode> nodes;
   };
 
--- a/src/libs/keys/key_ledger.cc
+++ b/src/libs/keys/key_record_store.cc
@@ -1,4 +1,4 @@
-#include "keys/key_ledger.h"
+#include "keys/key_record_store.h"
 
 namespace chestnutport::keys {
 namespace {
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-Claim KeyLedger::Begin(const KeyScope& scope,
-                       uint64_t fingerprint,
-                       base::Instant now) {
+Claim KeyRecordStore::Begin(const KeyScope& scope,
+                            uint64_t fingerprint,
+                            base::Instant now) {
   Expire(now);
   const auto found = records_.find(scope);
   if (found == records_.end()) {
@@ -43,53 +43,55 @@
   return {ClaimVerdict::kUncertain};
 }
 
-void KeyLedger::OnAnswer(const KeyScope& scope,
-                         const net::HttpAnswer& answer,
-                         base::Instant now) {
+void KeyRecordStore::OnAnswer(const KeyScope& scope,
+                              const net::HttpAnswer& answer,
+                              base::Instant now) {
   const auto found = records_.find(scope);
   if (found == records_.end())
     return;
   Record& record = found->second;
   const size_t size = SizeOf(answer);
-  const bool is_kept = answer.body.size() <= limits_.largest_answer &&
+  const bool is_kept = answer.body.size() <= limits_.max_answer_bytes &&
                        bytes_ + size <= limits_.bytes;
   record.state = is_kept ? State::kAnswered : State::kAnsweredBefore;
   if (is_kept) {
     record.answer = answer;
     bytes_ += size;
   }
-  ends_.push_back({scope, now});
+  expiries_.push_back({scope, now});
 }
 
-void KeyLedger::OnAnswerNotKept(const KeyScope& scope, base::Instant now) {
+void KeyRecordStore::OnAnswerDiscarded(const KeyScope& scope,
+                                       base::Instant now) {
   const auto found = records_.find(scope);
   if (found == records_.end())
     return;
   found->second.state = State::kAnsweredBefore;
-  ends_.push_back({scope, now});
+  expiries_.push_back({scope, now});
 }
 
-void KeyLedger::OnNotRun(const KeyScope& scope) {
+void KeyRecordStore::OnNotRun(const KeyScope& scope) {
   records_.erase(scope);
 }
 
-void KeyLedger::OnUncertain(const KeyScope& scope, base::Instant now) {
+void KeyRecordStore::OnUncertain(const KeyScope& scope, base::Instant now) {
   const auto found = records_.find(scope);
   if (found == records_.end())
     return;
   found->second.state = State::kUncertain;
-  ends_.push_back({scope, now});
+  expiries_.push_back({scope, now});
 }
 
-void KeyLedger::Expire(base::Instant now) {
-  while (!ends_.empty() && ends_.front().when + limits_.memory < now) {
-    const auto found = records_.find(ends_.front().scope);
+void KeyRecordStore::Expire(base::Instant now) {
+  while (!expiries_.empty() &&
+         expiries_.front().ended_at + limits_.retention < now) {
+    const auto found = records_.find(expiries_.front().scope);
     if (found != records_.end()) {
       if (found->second.state == State::kAnswered)
         bytes_ -= SizeOf(found->second.answer);
       records_.erase(found);
     }
-    ends_.pop_front();
+    expiries_.pop_front();
   }
 }
 
--- a/src/libs/keys/key_ledger.h
+++ b/src/libs/keys/key_record_store.h
@@ -1,7 +1,7 @@
 // What became of the requests with idempotency keys that this node owns. Pure:
 // time is passed in. Bounded in records, bytes and time.
-#ifndef KEYS_KEY_LEDGER_H_
-#define KEYS_KEY_LEDGER_H_
+#ifndef KEYS_KEY_RECORD_STORE_H_
+#define KEYS_KEY_RECORD_STORE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -15,12 +15,12 @@
 
 namespace chestnutport::keys {
 
-struct LedgerLimits {
+struct KeyRecordLimits {
   size_t records = 50000;
-  size_t bytes = 16 * 1024 * 1024;    // Of all kept answers.
-  size_t largest_answer = 64 * 1024;  // Bytes of a body that is kept.
+  size_t bytes = 16 * 1024 * 1024;      // Of all kept answers.
+  size_t max_answer_bytes = 64 * 1024;  // Bytes of a body that is kept.
   // Longer than the window in which a key may be sent again.
-  base::Duration memory = std::chrono::minutes(3);
+  base::Duration retention = std::chrono::minutes(3);
 };
 
 enum class ClaimVerdict {
@@ -38,12 +38,14 @@
   const net::HttpAnswer* answer = nullptr;  // Valid until the next call.
 };
 
-class KeyLedger {
+class KeyRecordStore {
  public:
-  explicit KeyLedger(const LedgerLimits& limits) : limits_(limits) {}
+  explicit KeyRecordStore(const KeyRecordLimits& limits) : limits_(limits) {}
 
   // Whether there is a record, also of a request that runs.
-  bool Knows(const KeyScope& scope) const { return records_.contains(scope); }
+  bool Contains(const KeyScope& scope) const {
+    return records_.contains(scope);
+  }
 
   Claim Begin(const KeyScope& scope, uint64_t fingerprint, base::Instant now);
   // Each kRun is followed by one of these.
@@ -51,7 +53,7 @@
                 const net::HttpAnswer& answer,
                 base::Instant now);
   // It ran, but its answer is not at hand.
-  void OnAnswerNotKept(const KeyScope& scope, base::Instant now);
+  void OnAnswerDiscarded(const KeyScope& scope, base::Instant now);
   void OnNotRun(const KeyScope& scope);
   void OnUncertain(const KeyScope& scope, base::Instant now);
 
@@ -69,17 +71,17 @@
     uint64_t fingerprint = 0;
     net::HttpAnswer answer;
   };
-  struct End {
+  struct Expiry {
     KeyScope scope;
-    base::Instant when;
+    base::Instant ended_at;
   };
 
-  LedgerLimits limits_;
+  KeyRecordLimits limits_;
   absl::flat_hash_map<KeyScope, Record> records_;
-  std::deque<End> ends_;  // Oldest first.
+  std::deque<Expiry> expiries_;  // Oldest first.
   size_t bytes_ = 0;
 };
 
 }  // namespace chestnutport::keys
 
-#endif  // KEYS_KEY_LEDGER_H_
+#endif  // KEYS_KEY_RECORD_STORE_H_
--- a/src/libs/routing/place.h
+++ b/src/libs/routing/locality.h
@@ -1,6 +1,6 @@
 // Where the node that chooses is, and how far others are from there.
-#ifndef ROUTING_PLACE_H_
-#define ROUTING_PLACE_H_
+#ifndef ROUTING_LOCALITY_H_
+#define ROUTING_LOCALITY_H_
 
 #include <string>
 
@@ -10,15 +10,15 @@
 
 namespace chestnutport::routing {
 
-struct Place {
+struct Locality {
   std::string data_centre;
   std::string region;
   base::NodeId node;
 
   // A usual round trip; what differs from it shows in the latencies.
-  base::Duration DistanceTo(const ServerCandidate& server) const;
+  base::Duration RoundTripTo(const ServerCandidate& server) const;
 };
 
 }  // namespace chestnutport::routing
 
-#endif  // ROUTING_PLACE_H_
+#endif  // ROUTING_LOCALITY_H_
--- a/src/libs/routing/recent_strain.cc
+++ b/src/libs/routing/recent_strain.cc
@@ -5,16 +5,16 @@
 namespace chestnutport::routing {
 namespace {
 
-constexpr size_t kUsualPart = 8;  // Of the reports, from the lowest on.
+constexpr size_t kUsualRankDivisor = 8;  // Of the reports, from the lowest on.
 
 }  // namespace
 
 void RecentStrain::OnReport(double strain) {
-  reports_[count_ % kKept] = strain;
+  reports_[count_ % kMaxReports] = strain;
   ++count_;
   auto sorted = reports_;
-  const size_t held = std::min(count_, kKept);
-  const auto usual = sorted.begin() + held / kUsualPart;
+  const size_t held = std::min(count_, kMaxReports);
+  const auto usual = sorted.begin() + held / kUsualRankDivisor;
   std::nth_element(sorted.begin(), usual, sorted.begin() + held);
   usual_ = std::max(1.0, *usual);
 }
--- a/src/libs/routing/recent_strain.h
+++ b/src/libs/routing/recent_strain.h
@@ -24,9 +24,9 @@
  private:
   // Reports kept: enough for an eighth of them to be more than one, few enough
   // that a node with some ten requests a second notices a change within one.
-  static constexpr size_t kKept = 12;
+  static constexpr size_t kMaxReports = 12;
 
-  std::array<double, kKept> reports_{};
+  std::array<double, kMaxReports> reports_{};
   size_t count_ = 0;  // Of all reports, also those not kept any more.
   double usual_ = 1;
 };
--- a/src/libs/routing/server_chooser.cc
+++ b/src/libs/routing/server_chooser.cc
@@ -9,48 +9,48 @@
 
 // Servers weighed for a choice: from all, and from the own data centre, as
 // bytes between data centres cost.
-constexpr int kDrawn = 3;
-constexpr int kDrawnNear = 2;
+constexpr int kSampleSize = 3;
+constexpr int kLocalSampleSize = 2;
 // The time of a near server counts so much less while it is no slower than
 // usual and no more than this part of its places is taken.
-constexpr double kNearGain = 0.8;
-constexpr double kRoomyLoad = 0.6;
-constexpr double kUsualStrain = 1.5;
+constexpr double kLocalTimeFactor = 0.8;
+constexpr double kMaxLocalLoad = 0.6;
+constexpr double kMaxLocalStrain = 1.5;
 
 }  // namespace
 
-struct ServerChooser::Best {
-  const Known* server = nullptr;
+struct ServerChooser::BestCandidate {
+  const Entry* server = nullptr;
   Seconds time{std::numeric_limits<double>::infinity()};
 };
 
-ServerChooser::ServerChooser(Place own_place)
-    : own_place_(std::move(own_place)) {}
+ServerChooser::ServerChooser(Locality own_locality)
+    : own_locality_(std::move(own_locality)) {}
 
 void ServerChooser::SetServers(const std::vector<ServerCandidate>& servers,
                                base::Instant now) {
-  std::vector<Known> next;
+  std::vector<Entry> next;
   next.reserve(servers.size());
   for (const ServerCandidate& candidate : servers) {
     const auto old = positions_.find(candidate.node);
-    Known known{candidate, {}, own_place_.DistanceTo(candidate)};
+    Entry known{candidate, {}, own_locality_.RoundTripTo(candidate)};
     if (old != positions_.end())
       known.estimate = servers_[old->second].estimate;
     else if (!servers_.empty())
-      known.estimate.StartCold(now);
+      known.estimate.StartWarmUp(now);
     next.push_back(std::move(known));
   }
   servers_ = std::move(next);
   positions_.clear();
   serving_.clear();
-  near_.clear();
+  local_.clear();
   serving_in_.clear();
   suspected_.clear();
   for (uint32_t position = 0; position < servers_.size(); ++position)
-    Index(position);
+    AddToIndexes(position);
 }
 
-void ServerChooser::Index(uint32_t position) {
+void ServerChooser::AddToIndexes(uint32_t position) {
   const ServerCandidate& candidate = servers_[position].candidate;
   positions_[candidate.node] = position;
   if (candidate.state == ServerState::kSuspected)
@@ -59,73 +59,73 @@
     return;
   serving_.push_back(position);
   serving_in_[candidate.region].push_back(position);
-  if (candidate.data_centre == own_place_.data_centre)
-    near_.push_back(position);
+  if (candidate.data_centre == own_locality_.data_centre)
+    local_.push_back(position);
 }
 
 const ServerCandidate* ServerChooser::ChooseAdmitted(
     const ServerFilter& filter,
     base::Instant now,
     base::Random& random) const {
-  Best best;
-  DrawOwn(filter, now, best);
-  if (filter.AdmitsRegion(own_place_.region))
-    Draw(near_, kDrawnNear, filter, now, random, best);
-  DrawServing(filter, now, random, best);
+  BestCandidate best;
+  ConsiderOwnServer(filter, now, best);
+  if (filter.AdmitsRegion(own_locality_.region))
+    Sample(local_, kLocalSampleSize, filter, now, random, best);
+  SampleServing(filter, now, random, best);
   if (!best.server)
-    best.server = Any(serving_, filter, random);
+    best.server = FindAny(serving_, filter, random);
   if (!best.server)
-    best.server = Any(suspected_, filter, random);
+    best.server = FindAny(suspected_, filter, random);
   return best.server ? &best.server->candidate : nullptr;
 }
 
-void ServerChooser::DrawOwn(const ServerFilter& filter,
-                            base::Instant now,
-                            Best& best) const {
-  const auto found = positions_.find(own_place_.node);
+void ServerChooser::ConsiderOwnServer(const ServerFilter& filter,
+                                      base::Instant now,
+                                      BestCandidate& best) const {
+  const auto found = positions_.find(own_locality_.node);
   if (found == positions_.end())
     return;
-  const Known& server = servers_[found->second];
+  const Entry& server = servers_[found->second];
   if (server.candidate.state == ServerState::kServing &&
       filter.Admits(server.candidate)) {
-    Weigh(server, filter, now, best);
+    Consider(server, filter, now, best);
   }
 }
 
-void ServerChooser::DrawServing(const ServerFilter& filter,
-                                base::Instant now,
-                                base::Random& random,
-                                Best& best) const {
+void ServerChooser::SampleServing(const ServerFilter& filter,
+                                  base::Instant now,
+                                  base::Random& random,
+                                  BestCandidate& best) const {
   if (filter.regions.empty()) {
-    Draw(serving_, kDrawn, filter, now, random, best);
+    Sample(serving_, kSampleSize, filter, now, random, best);
     return;
   }
   for (const std::string& region : filter.regions) {
     const auto found = serving_in_.find(region);
     if (found != serving_in_.end())
-      Draw(found->second, kDrawn, filter, now, random, best);
+      Sample(found->second, kSampleSize, filter, now, random, best);
   }
 }
 
-void ServerChooser::Draw(const Indexes& from,
-                         int wanted,
-                         const ServerFilter& filter,
-                         base::Instant now,
-                         base::Random& random,
-                         Best& best) const {
+void ServerChooser::Sample(const Indexes& from,
+                           int sample_size,
+                           const ServerFilter& filter,
+                           base::Instant now,
+                           base::Random& random,
+                           BestCandidate& best) const {
   if (from.empty())
     return;
   std::uniform_int_distribution<size_t> any(0, from.size() - 1);
-  for (int i = 0; i < wanted; ++i) {
-    const Known& server = servers_[from[any(random)]];
+  for (int i = 0; i < sample_size; ++i) {
+    const Entry& server = servers_[from[any(random)]];
     if (filter.Admits(server.candidate))
-      Weigh(server, filter, now, best);
+      Consider(server, filter, now, best);
   }
 }
 
-const ServerChooser::Known* ServerChooser::Any(const Indexes& from,
-                                               const ServerFilter& filter,
-                                               base::Random& random) const {
+const ServerChooser::Entry* ServerChooser::FindAny(const Indexes& from,
+                                                   const ServerFilter& filter,
+                                                   base::Random& random) const {
   if (from.empty())
     return nullptr;
   std::uniform_int_distribution<size_t> any(0, from.size() - 1);
@@ -136,44 +136,44 @@
                            ? std::min(from.size(), filter.excluded.size() + 1)
                            : from.size();
   for (size_t i = 0; i < steps; ++i) {
-    const Known& server = servers_[from[(start + i) % from.size()]];
+    const Entry& server = servers_[from[(start + i) % from.size()]];
     if (filter.Admits(server.candidate))
       return &server;
   }
   return nullptr;
 }
 
-void ServerChooser::Weigh(const Known& server,
-                          const ServerFilter& filter,
-                          base::Instant now,
-                          Best& best) const {
-  const Seconds expected =
-      server.estimate.ExpectedTime(SlotsOf(server.candidate), service_, now);
+void ServerChooser::Consider(const Entry& server,
+                             const ServerFilter& filter,
+                             base::Instant now,
+                             BestCandidate& best) const {
+  const Seconds expected = server.estimate.ExpectedTime(
+      EffectiveSlots(server.candidate), service_, now);
   Seconds time = server.distance + expected;
-  if (filter.prefers_near && IsNearWithRoom(server, now))
-    time *= kNearGain;
+  if (filter.prefers_local_data_centre && IsLocalWithCapacity(server, now))
+    time *= kLocalTimeFactor;
   if (time < best.time) {
     best.time = time;
     best.server = &server;
   }
 }
 
-int ServerChooser::SlotsOf(const ServerCandidate& candidate) const {
+int ServerChooser::EffectiveSlots(const ServerCandidate& candidate) const {
   const int slots = std::max(1, candidate.slots);
   if (candidate.cold_rate <= 0)
     return slots;
-  const double at_once =
+  const double concurrency =
       candidate.cold_rate * service_.typical_latency().count();
-  return std::clamp(static_cast<int>(at_once), 1, slots);
+  return std::clamp(static_cast<int>(concurrency), 1, slots);
 }
 
-bool ServerChooser::IsNearWithRoom(const Known& server,
-                                   base::Instant now) const {
-  if (server.candidate.data_centre != own_place_.data_centre)
+bool ServerChooser::IsLocalWithCapacity(const Entry& server,
+                                        base::Instant now) const {
+  if (server.candidate.data_centre != own_locality_.data_centre)
     return false;
-  const int slots = SlotsOf(server.candidate);
-  return server.estimate.Load(slots, service_, now) <= kRoomyLoad &&
-         server.estimate.Strain(service_, now) < kUsualStrain;
+  const int slots = EffectiveSlots(server.candidate);
+  return server.estimate.Load(slots, service_, now) <= kMaxLocalLoad &&
+         server.estimate.Strain(service_, now) < kMaxLocalStrain;
 }
 
 void ServerChooser::OnSent(base::NodeId node, base::Instant now) {
@@ -188,15 +188,16 @@
   const auto found = positions_.find(node);
   if (found == positions_.end())
     return;
-  Known& server = servers_[found->second];
-  server.estimate.OnEnded(result, SlotsOf(server.candidate), service_, now);
+  Entry& server = servers_[found->second];
+  server.estimate.OnEnded(result, EffectiveSlots(server.candidate), service_,
+                          now);
 }
 
 int ServerChooser::InFlight(base::NodeId node) const {
   const auto found = positions_.find(node);
   return found == positions_.end()
              ? 0
-             : servers_[found->second].estimate.in_flight_here();
+             : servers_[found->second].estimate.own_in_flight();
 }
 
 }  // namespace chestnutport::routing
--- a/src/libs/routing/server_chooser.h
+++ b/src/libs/routing/server_chooser.h
@@ -16,7 +16,7 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "routing/attempt_result.h"
-#include "routing/place.h"
+#include "routing/locality.h"
 #include "routing/server_candidate.h"
 #include "routing/server_estimate.h"
 #include "routing/server_filter.h"
@@ -26,7 +26,7 @@
 
 class ServerChooser {
  public:
-  explicit ServerChooser(Place own_place);
+  explicit ServerChooser(Locality own_locality);
 
   // Replaces the candidates; what was learned of those that stay is kept.
   void SetServers(const std::vector<ServerCandidate>& servers,
@@ -58,45 +58,47 @@
   int InFlight(base::NodeId node) const;
 
  private:
-  struct Known {
+  struct Entry {
     ServerCandidate candidate;
     ServerEstimate estimate;
     Seconds distance{};  // There and back.
   };
   using Indexes = std::vector<uint32_t>;
-  struct Best;
+  struct BestCandidate;
 
-  void DrawOwn(const ServerFilter& filter, base::Instant now, Best& best) const;
-  void Draw(const Indexes& from,
-            int wanted,
-            const ServerFilter& filter,
-            base::Instant now,
-            base::Random& random,
-            Best& best) const;
+  void ConsiderOwnServer(const ServerFilter& filter,
+                         base::Instant now,
+                         BestCandidate& best) const;
+  void Sample(const Indexes& from,
+              int sample_size,
+              const ServerFilter& filter,
+              base::Instant now,
+              base::Random& random,
+              BestCandidate& best) const;
   // From all that serve, or from those of each region that is admitted.
-  void DrawServing(const ServerFilter& filter,
-                   base::Instant now,
-                   base::Random& random,
-                   Best& best) const;
-  // Any that is admitted, by walking on from a random one.
-  const Known* Any(const Indexes& from,
-                   const ServerFilter& filter,
-                   base::Random& random) const;
+  void SampleServing(const ServerFilter& filter,
+                     base::Instant now,
+                     base::Random& random,
+                     BestCandidate& best) const;
+  // FindAny that is admitted, by walking on from a random one.
+  const Entry* FindAny(const Indexes& from,
+                       const ServerFilter& filter,
+                       base::Random& random) const;
   // Whether bytes between data centres can be saved at no cost to the request.
-  bool IsNearWithRoom(const Known& server, base::Instant now) const;
-  void Weigh(const Known& server,
-             const ServerFilter& filter,
-             base::Instant now,
-             Best& best) const;
-  void Index(uint32_t position);
+  bool IsLocalWithCapacity(const Entry& server, base::Instant now) const;
+  void Consider(const Entry& server,
+                const ServerFilter& filter,
+                base::Instant now,
+                BestCandidate& best) const;
+  void AddToIndexes(uint32_t position);
   // Requests that the server is given at a time, at its present rate.
-  int SlotsOf(const ServerCandidate& candidate) const;
+  int EffectiveSlots(const ServerCandidate& candidate) const;
 
-  Place own_place_;
-  std::vector<Known> servers_;
+  Locality own_locality_;
+  std::vector<Entry> servers_;
   absl::flat_hash_map<base::NodeId, uint32_t> positions_;
   Indexes serving_;
-  Indexes near_;  // Those that serve in the own data centre.
+  Indexes local_;  // Those that serve in the own data centre.
   absl::flat_hash_map<std::string, Indexes> serving_in_;  // By region.
   Indexes suspected_;
   ServiceEstimate service_;
--- a/src/libs/routing/server_estimate.h
+++ b/src/libs/routing/server_estimate.h
@@ -14,7 +14,7 @@
 class ServerEstimate {
  public:
   // The server is new, and may be cold: it gets its share by and by.
-  void StartCold(base::Instant now) { cold_since_ = now; }
+  void StartWarmUp(base::Instant now) { warm_up_since_ = now; }
 
   void OnSent(base::Instant now);
   void OnEnded(const AttemptResult& result,
@@ -37,19 +37,20 @@
   double Strain(const ServiceEstimate& service, base::Instant now) const;
 
   // Requests sent from here and not ended.
-  int in_flight_here() const { return in_flight_here_; }
+  int own_in_flight() const { return own_in_flight_; }
 
  private:
   void OnRefused(const AttemptResult& result, base::Instant now);
-  void OnLatency(Seconds latency,
-                 double weight,
-                 const ServiceEstimate& service,
-                 base::Instant now);
+  void UpdateLatency(Seconds latency,
+                     double weight,
+                     const ServiceEstimate& service,
+                     base::Instant now);
   // How many times slower than usual the server seems to be; at least 1.
   double Slowness(const ServiceEstimate& service, base::Instant now) const;
-  double RememberedSlowness(const ServiceEstimate& service,
-                            base::Instant now) const;
-  double Silence(const ServiceEstimate& service, base::Instant now) const;
+  double DecayedSlowness(const ServiceEstimate& service,
+                         base::Instant now) const;
+  double SilencePenalty(const ServiceEstimate& service,
+                        base::Instant now) const;
   void OnReport(const wire::LoadReport& load,
                 int slots,
                 ServiceEstimate& service,
@@ -57,23 +58,25 @@
   // As the server's own node said, while that is recent.
   double ReportedStrain(base::Instant now) const;
   double UsableSlots(int slots, base::Instant now) const;
-  double LoadOfOthers(const ServiceEstimate& service, base::Instant now) const;
+  double LoadFromOtherNodes(const ServiceEstimate& service,
+                            base::Instant now) const;
 
-  std::optional<base::Instant> cold_since_;
-  int in_flight_here_ = 0;
+  std::optional<base::Instant> warm_up_since_;
+  int own_in_flight_ = 0;
   // Nothing was heard from the server since, though something is in flight.
   base::Instant silent_since_{};
   Seconds latency_{0};  // Failures count as long ones. Zero: not known.
-  base::Instant latency_at_{};
-  int slow_in_a_row_ = 0;
-  base::Instant refusing_until_{};
+  base::Instant latency_updated_at_{};
+  int consecutive_slow_ = 0;
+  base::Instant avoided_until_{};
   // As of the last report.
   base::Instant reported_at_{};
   bool has_report_ = false;
-  double load_of_others_ = 0;  // A share of the slots.
+  double load_from_other_nodes_ = 0;  // A share of the slots.
   int limit_ = 0;
   double reported_strain_ = 1;
-  base::Instant strain_at_{};  // Of the last report that told the strain.
+  base::Instant
+      strain_reported_at_{};  // Of the last report that told the strain.
 };
 
 }  // namespace chestnutport::routing
--- a/src/libs/routing/server_filter.h
+++ b/src/libs/routing/server_filter.h
@@ -17,7 +17,7 @@
   // Whether near servers are preferred while they have room. Not for a call
   // that a server makes: those of a long chain would fill their own data centre
   // and wait for each other.
-  bool prefers_near = false;
+  bool prefers_local_data_centre = false;
 
   bool AdmitsRegion(const std::string& region) const {
     return regions.empty() ||
--- a/src/libs/routing/service_estimate.cc
+++ b/src/libs/routing/service_estimate.cc
@@ -5,20 +5,20 @@
 namespace chestnutport::routing {
 namespace {
 
-constexpr double kWeight = 0.02;
+constexpr double kSmoothingWeight = 0.02;
 // One very slow answer must not make slow servers look usual.
-constexpr double kMostOverTypical = 4;
+constexpr double kMaxOverTypical = 4;
 
 }  // namespace
 
 void ServiceEstimate::OnAnswer(Seconds latency) {
-  const Seconds bounded =
-      std::min(latency, typical_latency_ * kMostOverTypical);
-  typical_latency_ += kWeight * (bounded - typical_latency_);
+  const Seconds bounded = std::min(latency, typical_latency_ * kMaxOverTypical);
+  typical_latency_ += kSmoothingWeight * (bounded - typical_latency_);
 }
 
-void ServiceEstimate::OnLoadOfOthers(double share) {
-  typical_load_of_others_ += kWeight * (share - typical_load_of_others_);
+void ServiceEstimate::OnLoadFromOtherNodes(double share) {
+  typical_load_from_other_nodes_ +=
+      kSmoothingWeight * (share - typical_load_from_other_nodes_);
 }
 
 }  // namespace chestnutport::routing
--- a/src/libs/routing/service_estimate.h
+++ b/src/libs/routing/service_estimate.h
@@ -17,7 +17,7 @@
   void OnAnswer(Seconds latency);
   // Of a load report: what a server has from other nodes, as a share of its
   // slots.
-  void OnLoadOfOthers(double share);
+  void OnLoadFromOtherNodes(double share);
 
   // Of a load report: how many times the usual work a good answer costs.
   void OnStrain(double strain) { strain_.OnReport(strain); }
@@ -25,13 +25,15 @@
   // What an answer usually takes.
   Seconds typical_latency() const { return typical_latency_; }
   // The usual load that other nodes put on a server, as a share of its slots.
-  double typical_load_of_others() const { return typical_load_of_others_; }
+  double typical_load_from_other_nodes() const {
+    return typical_load_from_other_nodes_;
+  }
   // How many times the usual work a good answer costs as a rule just now.
   double usual_strain() const { return strain_.usual(); }
 
  private:
   Seconds typical_latency_{0.01};  // A guess until answers come.
-  double typical_load_of_others_ = 0;
+  double typical_load_from_other_nodes_ = 0;
   RecentStrain strain_;
 };
 
--- a/tests/auto/ingress/call_log_test.cc
+++ b/tests/auto/ingress/call_log_test.cc
@@ -24,9 +24,9 @@
   request.target_latency = milliseconds(120);
   ActiveCall call{.id = 1,
                   .service = &service,
-                  .decision = calls::Call(service.Policy(request), kStart,
-                                          kStart + std::chrono::seconds(1),
-                                          service.Budgets()),
+                  .state_machine = calls::Call(service.Policy(request), kStart,
+                                               kStart + std::chrono::seconds(1),
+                                               service.Budgets()),
                   .arrived_at = kStart};
   call.request = request;
   for (int i = 0; i <= moves; ++i) {
--- a/tests/auto/ingress/ingress_test.cc
+++ b/tests/auto/ingress/ingress_test.cc
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <vector>
 
-#include "ingress/own_caller_protocol.h"
+#include "ingress/native_caller_protocol.h"
 #include "net/error_answer.h"
 #include "rpc/dispatcher.h"
 #include "traffic/peer_paths.h"
@@ -117,7 +117,7 @@
         ingress_(loop_,
                  {},
                  {"key", ""},
-                 AnyCallerProtocol::Of(OwnCallerProtocol()),
+                 AnyCallerProtocol::Of(NativeCallerProtocol()),
                  running,
                  base::Random(1)) {
     address_ = ingress_
--- a/tests/auto/keys/key_ledger_test.cc
+++ b/tests/auto/keys/key_ledger_test.cc
@@ -1,5 +1,5 @@
 // What a node remembers of the idempotency keys that it owns.
-#include "keys/key_ledger.h"
+#include "keys/key_record_store.h"
 
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -14,11 +14,11 @@
 const KeyScope kScope = {"dossie", "firm-a", "k1"};
 
 TEST_CASE("a key that is used once") {
-  keys::LedgerLimits limits;
+  keys::KeyRecordLimits limits;
   limits.records = 2;
   limits.bytes = 1000;
-  limits.largest_answer = 100;
-  keys::KeyLedger ledger(limits);
+  limits.max_answer_bytes = 100;
+  keys::KeyRecordStore ledger(limits);
   REQUIRE(ledger.Begin(kScope, 1, kNow).verdict == ClaimVerdict::kRun);
 
   SECTION("is in use while its request runs") {
@@ -44,11 +44,11 @@
   }
   SECTION("is answered from the record, until that is old") {
     ledger.OnAnswer(kScope, {.status = 201, .body = "done"}, kNow);
-    const auto claim = ledger.Begin(kScope, 1, kNow + limits.memory);
+    const auto claim = ledger.Begin(kScope, 1, kNow + limits.retention);
     REQUIRE(claim.verdict == ClaimVerdict::kAnswered);
     CHECK(claim.answer->status == 201);
     CHECK(claim.answer->body == "done");
-    ledger.Expire(kNow + limits.memory + std::chrono::seconds(1));
+    ledger.Expire(kNow + limits.retention + std::chrono::seconds(1));
     CHECK(ledger.records() == 0);
     CHECK(ledger.bytes() == 0);
   }
--- a/tests/auto/keys/key_ownership_test.cc
+++ b/tests/auto/keys/key_ownership_test.cc
@@ -10,8 +10,8 @@
 using base::NodeId;
 using keys::KeyOwnership;
 using keys::OwnerNode;
+using keys::OwnershipStatus;
 using keys::OwnerState;
-using keys::Standing;
 using std::chrono::seconds;
 
 const base::Instant kStart = base::Instant(std::chrono::hours(1));
@@ -62,37 +62,37 @@
     }
   };
   ownership.SetView(nodes, now);
-  const auto standing = [&](std::optional<base::Duration> age) {
-    return ownership.StandingOf(kKey, age, now).standing;
+  const auto status = [&](std::optional<base::Duration> age) {
+    return ownership.StatusOf(kKey, age, now).status;
   };
 
   SECTION("runs nothing before earlier views have lost their validity") {
-    CHECK(standing(seconds(0)) == Standing::kSettling);
-    pass(options.settle, nodes);
-    CHECK(standing(std::nullopt) == Standing::kUncertain);
-    pass(options.transit, nodes);
+    CHECK(status(seconds(0)) == OwnershipStatus::kSettling);
+    pass(options.settling_time, nodes);
+    CHECK(status(std::nullopt) == OwnershipStatus::kUncertain);
+    pass(options.max_transit, nodes);
 
     SECTION("then runs what is known to be younger") {
-      CHECK(standing(seconds(0)) == Standing::kRuns);
-      CHECK(standing(seconds(1)) == Standing::kUncertain);
+      CHECK(status(seconds(0)) == OwnershipStatus::kMayRun);
+      CHECK(status(seconds(1)) == OwnershipStatus::kUncertain);
     }
     SECTION("and after the window runs what has no age") {
-      pass(options.window, nodes);
-      CHECK(standing(std::nullopt) == Standing::kRuns);
-      CHECK(standing(options.window) == Standing::kUncertain);
+      pass(options.reuse_window, nodes);
+      CHECK(status(std::nullopt) == OwnershipStatus::kMayRun);
+      CHECK(status(options.reuse_window) == OwnershipStatus::kUncertain);
     }
   }
 
   SECTION("after a long time") {
-    pass(options.window + options.settle, nodes);
-    REQUIRE(standing(std::nullopt) == Standing::kRuns);
+    pass(options.reuse_window + options.settling_time, nodes);
+    REQUIRE(status(std::nullopt) == OwnershipStatus::kMayRun);
 
     SECTION("acts on no old view") {
-      now += options.validity + seconds(1);
-      CHECK(standing(seconds(0)) == Standing::kNoValidView);
+      now += options.view_validity + seconds(1);
+      CHECK(status(seconds(0)) == OwnershipStatus::kNoValidView);
       SECTION("and begins anew after a pause") {
         ownership.SetView(nodes, now);
-        CHECK(standing(seconds(0)) == Standing::kSettling);
+        CHECK(status(seconds(0)) == OwnershipStatus::kSettling);
       }
     }
     SECTION("runs nothing in a minority") {
@@ -103,7 +103,7 @@
           node.state = OwnerState::kSuspected;
       }
       pass(seconds(1), view);
-      CHECK(standing(std::nullopt) == Standing::kNoValidView);
+      CHECK(status(std::nullopt) == OwnershipStatus::kNoValidView);
     }
     SECTION("does not count those that left in good order") {
       auto view = nodes;
@@ -113,7 +113,7 @@
       }
       pass(seconds(1), view);
       pass(seconds(1), std::vector<OwnerNode>{{self}});
-      CHECK(standing(std::nullopt) == Standing::kRuns);
+      CHECK(status(std::nullopt) == OwnershipStatus::kMayRun);
     }
   }
 }
--- a/tests/auto/keys/key_properties_test.cc
+++ b/tests/auto/keys/key_properties_test.cc
@@ -2,7 +2,7 @@
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
 
-#include "key_world.h"
+#include "key_simulation.h"
 
 namespace chestnutport::test {
 namespace {
@@ -14,20 +14,20 @@
 KeyEventKind KindOf(int drawn) {
   if (drawn < kKinds)
     return static_cast<KeyEventKind>(drawn);
-  constexpr KeyEventKind kOften[] = {
-      KeyEventKind::kTimePasses, KeyEventKind::kTimePasses,
-      KeyEventKind::kFirstUse, KeyEventKind::kUseAgain,
-      KeyEventKind::kUseAgain};
-  return kOften[drawn % 5];
+  constexpr KeyEventKind kFrequentKinds[] = {
+      KeyEventKind::kAdvanceTime, KeyEventKind::kAdvanceTime,
+      KeyEventKind::kFirstUse, KeyEventKind::kRepeatedUse,
+      KeyEventKind::kRepeatedUse};
+  return kFrequentKinds[drawn % 5];
 }
 
 struct Counts {
-  int twice = 0;
+  int runs_twice = 0;
   int runs = 0;
 };
 
 Counts Count(const OwnershipOptions& options,
-             Joins joins = Joins::kNotWhileSplit) {
+             JoinPolicy join_policy = JoinPolicy::kNotWhilePartitioned) {
   base::Random random(3);
   Counts counts;
   for (int i = 0; i < 1000; ++i) {
@@ -36,8 +36,8 @@
       event.kind = KindOf(static_cast<int>(random() % (4 * kKinds)));
       event.pick = static_cast<uint32_t>(random());
     }
-    KeyWorld world(options, joins);
-    counts.twice += world.RunsTwice(events) ? 1 : 0;
+    KeySimulation world(options, join_policy);
+    counts.runs_twice += world.RunsTwice(events) ? 1 : 0;
     counts.runs += world.runs();
   }
   return counts;
@@ -51,35 +51,35 @@
         },
         rc::gen::inRange(0, 4 * kKinds), rc::gen::arbitrary<uint32_t>());
     const auto events = *rc::gen::container<std::vector<KeyEvent>>(event);
-    RC_ASSERT_FALSE(KeyWorld(OwnershipOptions{}).RunsTwice(events));
+    RC_ASSERT_FALSE(KeySimulation(OwnershipOptions{}).RunsTwice(events));
   });
 
   SECTION("over long drawn lists, in which many keys do run") {
     const Counts counts = Count(OwnershipOptions{});
-    CHECK(counts.twice == 0);
+    CHECK(counts.runs_twice == 0);
     CHECK(counts.runs > 3000);
   }
 }
 
 // The hole that is left; docs/design/at-most-once.md gives its size.
 TEST_CASE("a node that joins the cut off part of a fleet can run a key again") {
-  const Counts counts = Count(OwnershipOptions{}, Joins::kAnyTime);
-  CHECK(counts.twice > 0);
-  CHECK(counts.twice < 20);
+  const Counts counts = Count(OwnershipOptions{}, JoinPolicy::kAnyTime);
+  CHECK(counts.runs_twice > 0);
+  CHECK(counts.runs_twice < 20);
 }
 
 TEST_CASE("a key is seen to run twice without") {
   OwnershipOptions options;
   SECTION("the wait of a new owner") {
-    options.settle = base::Duration::zero();
+    options.settling_time = base::Duration::zero();
   }
   SECTION("the end of a view's validity, and the new start after a pause") {
-    options.validity = std::chrono::hours(1);
+    options.view_validity = std::chrono::hours(1);
   }
   SECTION("the doubt about keys that may be older than the ownership") {
-    options.transit = -std::chrono::hours(1);
+    options.max_transit = -std::chrono::hours(1);
   }
-  CHECK(Count(options).twice > 0);
+  CHECK(Count(options).runs_twice > 0);
 }
 
 }  // namespace
--- a/tests/auto/keys/key_world.cc
+++ b/tests/auto/keys/key_simulation.cc
@@ -1,4 +1,4 @@
-#include "key_world.h"
+#include "key_simulation.h"
 
 #include <algorithm>
 #include <optional>
@@ -13,8 +13,9 @@
 
 constexpr int kNodes = 5;
 constexpr milliseconds kTick(500);
-constexpr uint32_t kLatestNews = 1500;  // Milliseconds until news has spread.
-constexpr uint32_t kSuspicion = 1000;   // Before one that is silent is gone.
+constexpr uint32_t kMaxPropagationMs =
+    1500;                                // Milliseconds until news has spread.
+constexpr uint32_t kSuspicionMs = 1000;  // Before one that is silent is gone.
 
 keys::KeyScope ScopeOf(size_t key) {
   return {"dossie", "", std::to_string(key)};
@@ -22,45 +23,46 @@
 
 }  // namespace
 
-KeyWorld::KeyWorld(const keys::OwnershipOptions& options, Joins joins)
-    : options_(options), joins_(joins) {
+KeySimulation::KeySimulation(const keys::OwnershipOptions& options,
+                             JoinPolicy join_policy)
+    : options_(options), join_policy_(join_policy) {
   for (int i = 0; i < kNodes; ++i)
     Add();
   for (const auto& node : nodes_) {
     for (const auto& other : nodes_)
       node->view[other->id] = OwnerState::kServing;
   }
-  Spread();
+  UpdateReachability();
   // Long enough for everyone to own its keys in full.
   for (int i = 0; i < 300; ++i)
-    PassTime();
+    AdvanceTime();
 }
 
-bool KeyWorld::RunsTwice(const std::vector<KeyEvent>& events) {
+bool KeySimulation::RunsTwice(const std::vector<KeyEvent>& events) {
   for (const KeyEvent& event : events)
-    Happen(event);
+    ApplyEvent(event);
   return std::ranges::any_of(keys_,
                              [](const Key& key) { return key.runs > 1; });
 }
 
-void KeyWorld::Happen(const KeyEvent& event) {
+void KeySimulation::ApplyEvent(const KeyEvent& event) {
   Node& node = *nodes_[event.pick % nodes_.size()];
   switch (event.kind) {
-    case KeyEventKind::kTimePasses:
+    case KeyEventKind::kAdvanceTime:
     case KeyEventKind::kCount:
       for (uint32_t i = 0; i <= event.pick % 6; ++i)
-        PassTime();
+        AdvanceTime();
       return;
     case KeyEventKind::kFirstUse:
       keys_.push_back({ScopeOf(keys_.size()).Hash(), now_, 0});
-      Use(keys_.size() - 1, event.pick);
+      SendRequest(keys_.size() - 1, event.pick);
       return;
-    case KeyEventKind::kUseAgain:
+    case KeyEventKind::kRepeatedUse:
       if (!keys_.empty())
-        Use(event.pick / 7 % keys_.size(), event.pick);
+        SendRequest(event.pick / 7 % keys_.size(), event.pick);
       return;
     case KeyEventKind::kRequestEnds:
-      End(event.pick);
+      EndRequest(event.pick);
       return;
     case KeyEventKind::kFreeze:
       node.is_frozen = true;
@@ -70,83 +72,87 @@
       break;
     case KeyEventKind::kReplace: {
       const bool is_split = std::ranges::any_of(
-          nodes_, [](const auto& n) { return n->is_cut_off; });
-      if (is_split && joins_ == Joins::kNotWhileSplit)
+          nodes_, [](const auto& n) { return n->is_partitioned; });
+      if (is_split && join_policy_ == JoinPolicy::kNotWhilePartitioned)
         return;
       const NodeId gone = node.id;
       std::erase_if(nodes_, [&](const auto& n) { return n->id == gone; });
       Add().view = nodes_.front()->view;
       break;
     }
-    case KeyEventKind::kSplit:
+    case KeyEventKind::kPartition:
       for (const auto& each : nodes_)
-        each->is_cut_off = random_() % 2 == 0;
+        each->is_partitioned = random_() % 2 == 0;
       break;
-    case KeyEventKind::kHeal:
+    case KeyEventKind::kHealPartition:
       for (const auto& each : nodes_)
-        each->is_cut_off = false;
+        each->is_partitioned = false;
       break;
   }
-  Spread();
+  UpdateReachability();
 }
 
-KeyWorld::Node& KeyWorld::Add() {
+KeySimulation::Node& KeySimulation::Add() {
   const NodeId id{++last_id_};
   nodes_.push_back(std::make_unique<Node>(
       Node{.id = id, .ownership = keys::KeyOwnership(id, options_)}));
   return *nodes_.back();
 }
 
-KeyWorld::Node* KeyWorld::Find(NodeId id) {
+KeySimulation::Node* KeySimulation::Find(NodeId id) {
   const auto found = std::ranges::find(nodes_, id, &Node::id);
   return found == nodes_.end() ? nullptr : found->get();
 }
 
-bool KeyWorld::Reaches(const Node& a, const Node& b) const {
-  return !b.is_frozen && a.is_cut_off == b.is_cut_off;
+bool KeySimulation::CanReach(const Node& a, const Node& b) const {
+  return !b.is_frozen && a.is_partitioned == b.is_partitioned;
 }
 
-void KeyWorld::Spread() {
+void KeySimulation::UpdateReachability() {
   for (const auto& observer : nodes_) {
     for (uint64_t id = 1; id <= last_id_; ++id) {
       const Node* subject = Find(NodeId{id});
-      const bool reaches = subject && Reaches(*observer, *subject);
+      const bool reaches = subject && CanReach(*observer, *subject);
       const auto pair = std::pair(observer->id, NodeId{id});
-      const auto known = reached_.try_emplace(pair, false).first;
+      const auto known = reachability_.try_emplace(pair, false).first;
       if (known->second != reaches)
-        SendNews(observer->id, NodeId{id}, reaches);
+        ScheduleViewUpdate(observer->id, NodeId{id}, reaches);
       known->second = reaches;
     }
   }
 }
 
-void KeyWorld::SendNews(NodeId observer, NodeId subject, bool is_reached) {
-  std::erase_if(news_, [&](const News& news) {
-    return news.observer == observer && news.subject == subject;
+void KeySimulation::ScheduleViewUpdate(NodeId observer,
+                                       NodeId subject,
+                                       bool is_reached) {
+  std::erase_if(view_updates_, [&](const ViewUpdate& view_update) {
+    return view_update.observer == observer && view_update.subject == subject;
   });
   if (is_reached) {
-    news_.push_back({now_ + milliseconds(random_() % kLatestNews), observer,
-                     subject, OwnerState::kServing});
+    view_updates_.push_back({now_ + milliseconds(random_() % kMaxPropagationMs),
+                             observer, subject, OwnerState::kServing});
     return;
   }
-  const auto noticed = milliseconds(random_() % (kLatestNews - kSuspicion));
-  news_.push_back({now_ + noticed, observer, subject, OwnerState::kSuspected});
-  news_.push_back({now_ + noticed + milliseconds(kSuspicion), observer, subject,
-                   std::nullopt});
+  const auto detection_delay =
+      milliseconds(random_() % (kMaxPropagationMs - kSuspicionMs));
+  view_updates_.push_back(
+      {now_ + detection_delay, observer, subject, OwnerState::kSuspected});
+  view_updates_.push_back({now_ + detection_delay + milliseconds(kSuspicionMs),
+                           observer, subject, std::nullopt});
 }
 
-void KeyWorld::PassTime() {
+void KeySimulation::AdvanceTime() {
   now_ += kTick;
   for (const auto& node : nodes_) {
     if (node->is_frozen)
       continue;
-    for (const News& news : news_) {
-      if (news.observer != node->id || news.when > now_)
+    for (const ViewUpdate& view_update : view_updates_) {
+      if (view_update.observer != node->id || view_update.when > now_)
         continue;
-      if (news.state)
-        node->view[news.subject] = *news.state;
+      if (view_update.state)
+        node->view[view_update.subject] = *view_update.state;
       else
-        node->view.erase(news.subject);
+        node->view.erase(view_update.subject);
     }
     std::vector<keys::OwnerNode> view;
     for (const auto& [id, state] : node->view)
@@ -156,7 +162,7 @@
   }
 }
 
-void KeyWorld::Use(size_t at, uint32_t pick) {
+void KeySimulation::SendRequest(size_t at, uint32_t pick) {
   Key& key = keys_[at];
   ++uses_;
   // Any node may be the ingress, also one whose view is old.
@@ -171,11 +177,11 @@
   std::optional<base::Duration> age;
   if (pick % 3 != 0)
     age = now_ - key.first_use;
-  if (!age && now_ - key.first_use >= options_.window)
+  if (!age && now_ - key.first_use >= options_.reuse_window)
     return;  // The caller keeps to the window.
-  if (!owner->ledger.Knows(ScopeOf(at)) &&
-      owner->ownership.StandingOf(key.hash, age, now_).standing !=
-          keys::Standing::kRuns) {
+  if (!owner->ledger.Contains(ScopeOf(at)) &&
+      owner->ownership.StatusOf(key.hash, age, now_).status !=
+          keys::OwnershipStatus::kMayRun) {
     return;
   }
   if (owner->ledger.Begin(ScopeOf(at), 1, now_).verdict !=
@@ -187,7 +193,7 @@
   running_.push_back({owner->id.value, at});
 }
 
-void KeyWorld::End(uint32_t pick) {
+void KeySimulation::EndRequest(uint32_t pick) {
   if (running_.empty())
     return;
   const auto at = running_.begin() + pick % running_.size();
--- a/tests/auto/keys/key_world.h
+++ b/tests/auto/keys/key_simulation.h
@@ -1,7 +1,7 @@
 // Nodes that own idempotency keys, with views of the fleet that spread late,
 // and callers that send the same key again by any of them.
-#ifndef KEYS_KEY_WORLD_H_
-#define KEYS_KEY_WORLD_H_
+#ifndef KEYS_KEY_SIMULATION_H_
+#define KEYS_KEY_SIMULATION_H_
 
 #include <cstdint>
 #include <map>
@@ -11,37 +11,38 @@
 #include <vector>
 
 #include "base/random.h"
-#include "keys/key_ledger.h"
 #include "keys/key_ownership.h"
+#include "keys/key_record_store.h"
 
 namespace chestnutport::test {
 
 enum class KeyEventKind : uint8_t {
-  kTimePasses,
+  kAdvanceTime,
   kFirstUse,
-  kUseAgain,
+  kRepeatedUse,
   kRequestEnds,
   kFreeze,
   kResume,
   kReplace,
-  kSplit,
-  kHeal,
+  kPartition,
+  kHealPartition,
   kCount,
 };
 
 struct KeyEvent {
-  KeyEventKind kind = KeyEventKind::kTimePasses;
+  KeyEventKind kind = KeyEventKind::kAdvanceTime;
   uint32_t pick = 0;
 };
 
 // A node that starts while its side is cut off has never heard of the others,
 // so it cannot know that its side is the smaller one.
-enum class Joins { kNotWhileSplit, kAnyTime };
+enum class JoinPolicy { kNotWhilePartitioned, kAnyTime };
 
-class KeyWorld {
+class KeySimulation {
  public:
-  explicit KeyWorld(const keys::OwnershipOptions& options,
-                    Joins joins = Joins::kNotWhileSplit);
+  explicit KeySimulation(
+      const keys::OwnershipOptions& options,
+      JoinPolicy join_policy = JoinPolicy::kNotWhilePartitioned);
 
   // Whether a key ran twice.
   bool RunsTwice(const std::vector<KeyEvent>& events);
@@ -61,38 +62,40 @@
   struct Node {
     base::NodeId id;
     bool is_frozen = false;
-    bool is_cut_off = false;
+    bool is_partitioned = false;
     keys::KeyOwnership ownership;
-    keys::KeyLedger ledger{keys::LedgerLimits{}};
+    keys::KeyRecordStore ledger{keys::KeyRecordLimits{}};
     std::map<base::NodeId, keys::OwnerState> view;
   };
   // What `observer` is going to learn of `subject`; none: that it is gone.
-  struct News {
+  struct ViewUpdate {
     base::Instant when;
     base::NodeId observer;
     base::NodeId subject;
     std::optional<keys::OwnerState> state;
   };
 
-  void Happen(const KeyEvent& event);
+  void ApplyEvent(const KeyEvent& event);
   Node& Add();
   Node* Find(base::NodeId id);
-  bool Reaches(const Node& a, const Node& b) const;
+  bool CanReach(const Node& a, const Node& b) const;
   // Each node learns, a little later, whom it can reach from now on.
-  void Spread();
-  void SendNews(base::NodeId observer, base::NodeId subject, bool is_reached);
-  void PassTime();
-  void Use(size_t key, uint32_t pick);
-  void End(uint32_t pick);
+  void UpdateReachability();
+  void ScheduleViewUpdate(base::NodeId observer,
+                          base::NodeId subject,
+                          bool is_reached);
+  void AdvanceTime();
+  void SendRequest(size_t key, uint32_t pick);
+  void EndRequest(uint32_t pick);
 
   keys::OwnershipOptions options_;
-  Joins joins_;
+  JoinPolicy join_policy_;
   base::Random random_{5};
   base::Instant now_ = base::Instant(std::chrono::hours(1));
   uint64_t last_id_ = 0;
   std::vector<std::unique_ptr<Node>> nodes_;
-  std::vector<News> news_;
-  std::map<std::pair<base::NodeId, base::NodeId>, bool> reached_;
+  std::vector<ViewUpdate> view_updates_;
+  std::map<std::pair<base::NodeId, base::NodeId>, bool> reachability_;
   std::vector<Key> keys_;
   std::vector<Running> running_;
   int runs_ = 0;
@@ -101,4 +104,4 @@
 
 }  // namespace chestnutport::test
 
-#endif  // KEYS_KEY_WORLD_H_
+#endif  // KEYS_KEY_SIMULATION_H_
--- a/tests/auto/keys/keyed_path_test.cc
+++ b/tests/auto/keys/keyed_path_test.cc
@@ -22,10 +22,10 @@
 }
 
 // Calls, and comes back while the key's owner is not settled, as it is told.
-net::HttpAnswer Persist(const Fleet& fleet,
-                        const Vm& vm,
-                        const std::string& path,
-                        const net::HttpHeaders& headers) {
+net::HttpAnswer CallUntilSettled(const Fleet& fleet,
+                                 const Vm& vm,
+                                 const std::string& path,
+                                 const net::HttpHeaders& headers) {
   net::HttpAnswer answer;
   WaitUntil([&] {
     answer = fleet.Call(vm, "POST", path, "other", headers);
@@ -55,19 +55,21 @@
 
   SECTION("is answered from the record, and run once") {
     for (const Vm* vm : {&a, &b}) {
-      const auto again = Persist(fleet, *vm, "/laudo/1", WithKey(key, "9s"));
+      const auto again =
+          CallUntilSettled(fleet, *vm, "/laudo/1", WithKey(key, "9s"));
       CHECK(again.status == 200);
       CHECK(again.body == first.body);
     }
     CHECK(fleet.Executions() == std::map<std::string, int>{{key, 1}});
   }
   SECTION("is refused for another request") {
-    const auto other = Persist(fleet, b, "/laudo/2", WithKey(key, "9s"));
+    const auto other =
+        CallUntilSettled(fleet, b, "/laudo/2", WithKey(key, "9s"));
     CHECK(Error(other) == "key-mismatch");
   }
   SECTION("without its age is unknown to an owner that started lately") {
     const auto old =
-        Persist(fleet, b, "/laudo/1", {{"Idempotency-Key", "other"}});
+        CallUntilSettled(fleet, b, "/laudo/1", {{"Idempotency-Key", "other"}});
     CHECK(Error(old) == "key-uncertain");
     CHECK(FindHeader(old.headers, "Chestnutport-Outcome") == "unknown");
     CHECK_FALSE(FindHeader(old.headers, "Retry-After").empty());
--- a/tests/auto/quarantine/ending_world.cc
+++ b/tests/auto/quarantine/ending_world.cc
@@ -147,7 +147,7 @@
   if (up.empty())
     return nullptr;
   if (IsSuspect(call)) {
-    const auto* owner = ingress::OwnerAmong(call.content.value, candidates);
+    const auto* owner = ingress::FindKeyOwner(call.content.value, candidates);
     return *std::ranges::find(up, owner->node, &Server::node);
   }
   // Where least is running, as the chooser does on servers of equal speed.
--- a/tests/auto/routing/server_chooser_test.cc
+++ b/tests/auto/routing/server_chooser_test.cc
@@ -26,7 +26,7 @@
   return servers;
 }
 
-Place PlaceIn(const char* data_centre) {
+Locality LocalityIn(const char* data_centre) {
   return {data_centre, "sul", NodeId{1000}};
 }
 
@@ -58,7 +58,7 @@
   }
 
   std::vector<ServerCandidate> candidates;
-  ServerChooser chooser{PlaceIn("poa-a")};
+  ServerChooser chooser{LocalityIn("poa-a")};
   base::Random random{1};
   Instant now{std::chrono::seconds(1)};
   std::map<NodeId, int> chosen;
@@ -193,12 +193,13 @@
   for (int i = 4; i < 8; ++i)
     servers[i].data_centre = "poa-b";
   // Of `calls` that all stay in flight, those that near servers get.
-  const auto near_share = [&](bool prefers_near, int calls) {
+  const auto near_share = [&](bool prefers_local_data_centre, int calls) {
     Story story(servers);
     int near = 0;
     for (int i = 0; i < calls; ++i) {
       const auto* server = story.chooser.ChooseAdmitted(
-          {.prefers_near = prefers_near}, story.now, story.random);
+          {.prefers_local_data_centre = prefers_local_data_centre}, story.now,
+          story.random);
       near += server->data_centre == "poa-a" ? 1 : 0;
       story.chooser.OnSent(server->node, story.now);
     }
@@ -280,7 +281,7 @@
     else if (i < draining + excluded)
       barred.push_back(servers[i].node);
   }
-  Chooser chooser(PlaceIn("poa-a"));
+  Chooser chooser(LocalityIn("poa-a"));
   base::Random random(count);
   chooser.SetServers(servers, Instant{});
   const bool is_any_left = draining + excluded < count;
@@ -299,7 +300,7 @@
 // Each of `count` healthy servers is chosen within 100 choices a server.
 template <typename Chooser>
 bool StarvesNone(int count, uint64_t seed) {
-  Chooser chooser(PlaceIn("poa-a"));
+  Chooser chooser(LocalityIn("poa-a"));
   base::Random random(seed);
   chooser.SetServers(Servers(count), Instant{});
   std::map<NodeId, int> chosen;
@@ -346,7 +347,7 @@
                                          *rc::gen::arbitrary<uint64_t>()));
   });
   rc::prop("what is in flight never falls below zero", [] {
-    ServerChooser chooser(PlaceIn("poa-a"));
+    ServerChooser chooser(LocalityIn("poa-a"));
     chooser.SetServers(Servers(3), Instant{});
     int sent = 0;
     for (const bool is_sent : *rc::gen::arbitrary<std::vector<bool>>()) {
--- a/tests/benchmarks/decisions/choosing_policy.h
+++ b/tests/benchmarks/decisions/choosing_policy.h
@@ -10,7 +10,7 @@
 
 #include "decisions/world.h"
 #include "routing/attempt_result.h"
-#include "routing/place.h"
+#include "routing/locality.h"
 #include "routing/server_candidate.h"
 
 namespace chestnutport::bench {
@@ -19,7 +19,7 @@
 struct PolicyPlace {
   const World& world;
   int vm;
-  routing::Place own;
+  routing::Locality own;
 };
 
 template <typename T>
--- a/tests/benchmarks/decisions/shipped_policy.h
+++ b/tests/benchmarks/decisions/shipped_policy.h
@@ -18,8 +18,8 @@
       std::span<const base::NodeId> excluded,
       base::Instant now,
       base::Random& random) const {
-    return ChooseAdmitted({.excluded = excluded, .prefers_near = true}, now,
-                          random);
+    return ChooseAdmitted(
+        {.excluded = excluded, .prefers_local_data_centre = true}, now, random);
   }
 };
 
