--- a/tests/benchmarks/decisions/baselines.cc
+++ b/tests/benchmarks/decisions/baselines.cc
@@ -77,7 +77,7 @@
   return usable.empty() ? nullptr : usable[next_++ % usable.size()];
 }
 
-const ServerCandidate* LeastKnownHerePolicy::Choose(
+const ServerCandidate* LeastLocalInFlightPolicy::Choose(
     std::span<const base::NodeId> excluded,
     base::Instant /*now*/,
     base::Random& random) {
@@ -115,7 +115,7 @@
   auto usable = Usable(excluded);
   std::ranges::shuffle(usable, random);
   for (const ServerCandidate* server : usable) {
-    const FakeServer& exact = *world_.Find(server->node);
+    const SimulatedServer& exact = *fleet_.Find(server->node);
     if (!exact.is_up() || exact.IsDraining() || exact.IsFailing())
       continue;
     const double time = ExpectedTime(exact, now);
@@ -127,15 +127,15 @@
   return best;
 }
 
-double OmniscientPolicy::ExpectedTime(const FakeServer& server,
+double OmniscientPolicy::ExpectedTime(const SimulatedServer& server,
                                       base::Instant now) const {
   const double slots = server.candidate().slots;
   const double ahead = std::max(0.0, server.outstanding() - slots + 1);
   const double work = std::chrono::duration<double>(
-                          MeanHold(world_.shape(), world_.condition()))
+                          MeanSlotTime(fleet_.shape(), fleet_.condition()))
                           .count();
   const double distance =
-      std::chrono::duration<double>(world_.Distance(vm_, server.vm())).count();
+      std::chrono::duration<double>(fleet_.Distance(vm_, server.vm())).count();
   return 2 * distance +
          work * (1 + ahead / slots) / server.speed().SpeedAt(now);
 }
--- a/tests/benchmarks/decisions/baselines.h
+++ b/tests/benchmarks/decisions/baselines.h
@@ -1,4 +1,5 @@
-// The ways to choose servers that the shipped one is compared with.
+// Baseline policies for choosing servers, with which the shipped one is
+// compared.
 #ifndef DECISIONS_BASELINES_H_
 #define DECISIONS_BASELINES_H_
 
@@ -10,10 +11,11 @@
 
 namespace chestnutport::bench {
 
-// What the baselines have in common: the servers that may be sent to.
+// Common base of the baselines: keeps the candidates, the requests in flight
+// and the latest load reports.
 class BaselinePolicy {
  public:
-  explicit BaselinePolicy(const PolicyPlace&) {}
+  explicit BaselinePolicy(const PolicyContext&) {}
   void SetServers(const std::vector<routing::ServerCandidate>& servers,
                   base::Instant now);
   void OnSent(base::NodeId node, base::Instant now);
@@ -24,7 +26,8 @@
  protected:
   using Candidate = routing::ServerCandidate;
 
-  // Those that serve and are not excluded; else those that are suspected.
+  // Returns the serving servers that are not excluded, or if there are none,
+  // the suspected ones.
   std::vector<const Candidate*> Usable(
       std::span<const base::NodeId> excluded) const;
   int InFlight(base::NodeId node) const;
@@ -61,8 +64,8 @@
   size_t next_ = 0;
 };
 
-// Least in flight, as far as this node has sent it.
-class LeastKnownHerePolicy : public BaselinePolicy {
+// Chooses the server with the fewest requests of this node in flight.
+class LeastLocalInFlightPolicy : public BaselinePolicy {
  public:
   static constexpr std::string_view kName = "least-known-here";
   using BaselinePolicy::BaselinePolicy;
@@ -71,7 +74,7 @@
                                          base::Random& random);
 };
 
-// The better of two by the load that their last answers carried.
+// Chooses the less loaded of two random servers by their last load reports.
 class TwoChoicesPolicy : public BaselinePolicy {
  public:
   static constexpr std::string_view kName = "two-choices";
@@ -81,21 +84,21 @@
                                          base::Random& random);
 };
 
-// The limit: knows every count, speed and distance without delay, and where
-// the answer would come from first.
+// Upper bound: knows all counts, speeds and distances without delay, and
+// chooses the server that would answer first.
 class OmniscientPolicy : public BaselinePolicy {
  public:
   static constexpr std::string_view kName = "omniscient";
-  explicit OmniscientPolicy(const PolicyPlace& place)
-      : BaselinePolicy(place), world_(place.world), vm_(place.vm) {}
+  explicit OmniscientPolicy(const PolicyContext& context)
+      : BaselinePolicy(context), fleet_(context.fleet), vm_(context.vm) {}
   const routing::ServerCandidate* Choose(std::span<const base::NodeId> excluded,
                                          base::Instant now,
                                          base::Random& random);
 
  private:
-  double ExpectedTime(const FakeServer& server, base::Instant now) const;
+  double ExpectedTime(const SimulatedServer& server, base::Instant now) const;
 
-  const World& world_;
+  const SimulatedFleet& fleet_;
   int vm_;
 };
 
--- a/tests/benchmarks/decisions/choice_cost.cc
+++ b/tests/benchmarks/decisions/choice_cost.cc
@@ -36,11 +36,12 @@
 
 constexpr int kChoices = 100000;
 constexpr int kRounds = 5;
-// Of the same run, with room for a busy machine; a scan would be near 200.
-constexpr double kMostSlope = 8;
+// Maximum ratio of costs within one run, with a margin for a busy machine. A
+// linear scan would give a ratio near 200.
+constexpr double kMaxCostRatio = 8;
 
 struct Cost {
-  double nanoseconds = 0;  // The best round.
+  double nanoseconds = 0;  // Of the fastest round.
   double allocations = 0;
 };
 
@@ -59,14 +60,14 @@
   base::Random random(1);
   base::Instant now{};
   chooser.SetServers(Candidates(count), now);
-  const base::NodeId tried[] = {base::NodeId{2}};
+  const base::NodeId tried_nodes[] = {base::NodeId{2}};
   Cost cost;
   for (int round = 0; round < kRounds; ++round) {
     const int64_t allocations = g_allocations;
     const auto start = std::chrono::steady_clock::now();
     for (int i = 0; i < kChoices; ++i) {
       now += std::chrono::microseconds(10);
-      const base::NodeId node = chooser.Choose(tried, now, random)->node;
+      const base::NodeId node = chooser.Choose(tried_nodes, now, random)->node;
       chooser.OnSent(node, now);
       chooser.OnEnded(node, {}, now);
     }
@@ -92,7 +93,7 @@
     times.push_back(cost.nanoseconds);
   }
   report.Add({"decisions/choice/3000-to-15", times[3] / times[1], "ratio",
-              kMostSlope});
+              kMaxCostRatio});
 }
 
 }  // namespace chestnutport::bench
--- a/tests/benchmarks/decisions/choice_cost.h
+++ b/tests/benchmarks/decisions/choice_cost.h
@@ -1,4 +1,4 @@
-// What one choice costs, by the number of candidates.
+// Measures the cost of one choice by the number of candidates.
 #ifndef DECISIONS_CHOICE_COST_H_
 #define DECISIONS_CHOICE_COST_H_
 
@@ -6,8 +6,9 @@
 
 namespace chestnutport::bench {
 
-// Adds nanoseconds and allocations a choice at 3, 15, 200 and 3,000 servers,
-// and the ratio of the dearest to the cheapest of the last three.
+// Adds the time in nanoseconds and the allocations per choice for 3, 15, 200
+// and 3,000 servers, and the ratio of the greatest to the least time of the
+// last three.
 void AddChoiceCosts(FigureReport& report);
 
 }  // namespace chestnutport::bench
--- a/tests/benchmarks/decisions/choosing_policy.h
+++ b/tests/benchmarks/decisions/choosing_policy.h
@@ -1,5 +1,5 @@
-// What the benchmark needs of a way to choose servers. The shipped chooser and
-// every baseline satisfy it.
+// Concept of a policy for choosing servers, satisfied by the shipped chooser
+// and all baselines.
 #ifndef DECISIONS_CHOOSING_POLICY_H_
 #define DECISIONS_CHOOSING_POLICY_H_
 
@@ -8,22 +8,23 @@
 #include <string_view>
 #include <vector>
 
-#include "decisions/world.h"
+#include "decisions/simulated_fleet.h"
 #include "routing/attempt_result.h"
 #include "routing/locality.h"
 #include "routing/server_candidate.h"
 
 namespace chestnutport::bench {
 
-// Where a policy decides. Only the omniscient one may look into the world.
-struct PolicyPlace {
-  const World& world;
+// The node at which a policy decides. Only the omniscient policy may use
+// `fleet`.
+struct PolicyContext {
+  const SimulatedFleet& fleet;
   int vm;
-  routing::Locality own;
+  routing::Locality locality;
 };
 
 template <typename T>
-concept ChoosingPolicy = std::constructible_from<T, const PolicyPlace&> &&
+concept ChoosingPolicy = std::constructible_from<T, const PolicyContext&> &&
     requires(T policy,
              const std::vector<routing::ServerCandidate>& servers,
              std::span<const base::NodeId> excluded,
--- a/tests/benchmarks/decisions/condition.h
+++ b/tests/benchmarks/decisions/condition.h
@@ -1,4 +1,4 @@
-// What happens to the fleet in one row of the benchmark.
+// The load and the faults in one row of the benchmark.
 #ifndef DECISIONS_CONDITION_H_
 #define DECISIONS_CONDITION_H_
 
@@ -11,13 +11,14 @@
 
 enum class ConditionKind {
   kSteady,
-  kStraggler,       // One server becomes five times slower.
-  kSlowTurns,       // Each half in turn is four times slower for 50 ms.
-  kFastFailing,     // One server answers 500 after 1 ms.
-  kLyingReport,     // One server is three times slower and reports to be idle.
-  kTenantRush,      // One of four tenants sends three times as much.
-  kRollingUpgrade,  // Servers drain, leave, and come back cold, one by one.
-  kDataCentreLoss,  // One is lost, and comes back cold.
+  kStraggler,            // One server becomes five times slower.
+  kAlternatingSlowdown,  // Either half of the servers alternately is four times
+                         // slower for 50 ms.
+  kFastFailing,          // One server answers 500 after 1 ms.
+  kFalseReport,     // One server is three times slower but reports to be idle.
+  kTenantBurst,     // One of four tenants sends three times as much.
+  kRollingUpgrade,  // Servers drain, stop and restart cold, one after another.
+  kDataCentreLoss,  // A data centre is lost, and restarts cold.
   kChain,           // Calls 24 deep whose last level becomes ten times slower.
 };
 
@@ -30,7 +31,7 @@
 
 std::vector<Condition> AllConditions();
 
-// Times of a run.
+// Times since the start of a run.
 inline constexpr std::chrono::milliseconds kWarmUp(500);
 inline constexpr std::chrono::milliseconds kFaultFrom(1000);
 inline constexpr std::chrono::milliseconds kFaultUntil(3000);
--- a/tests/benchmarks/decisions/decisions_main.cc
+++ b/tests/benchmarks/decisions/decisions_main.cc
@@ -1,4 +1,5 @@
-// Prints a table of all rows, and judges the shipped chooser by it.
+// Prints a table of all rows, and checks the shipped chooser against its
+// bounds.
 //   bench_decisions [--results=FILE] [--row=NAME]
 #include <algorithm>
 #include <cstdio>
@@ -22,10 +23,10 @@
 namespace chestnutport::bench {
 namespace {
 
-constexpr double kMostToOmniscient = 1.2;
-constexpr double kMostInLongChain = 2.2;
-constexpr double kLeastGoodput = 0.95;
-constexpr double kMostAmplification = 1.1;
+constexpr double kMaxRatioToOmniscient = 1.2;
+constexpr double kMaxRatioInLongChain = 2.2;
+constexpr double kMinGoodput = 0.95;
+constexpr double kMaxAmplification = 1.1;
 
 using Runs = std::vector<std::pair<std::string, RunFigures>>;  // By policy.
 
@@ -54,14 +55,15 @@
       run.retried, run.hedged, run.probes, run.wrong);
 }
 
-// The aim is judged in every row but one, whose own bound keeps it from growing
-// worse.
+// Every row is checked against the target ratio except one, which has a bound
+// of its own that prevents regressions.
 void AddToOmniscient(const std::string& name,
                      double ratio,
                      FigureReport& report) {
-  Figure figure{name + "/p99-to-omniscient", ratio, "ratio", kMostToOmniscient};
+  Figure figure{name + "/p99-to-omniscient", ratio, "ratio",
+                kMaxRatioToOmniscient};
   if (name == "decisions/kivisaar/chain-24") {
-    figure.at_most = kMostInLongChain;
+    figure.at_most = kMaxRatioInLongChain;
     figure.note =
         "aim of 1.2 not met: load of other nodes is learned only when the "
         "calls of a chain end";
@@ -75,7 +77,7 @@
   const std::string row = shape.user + "/" + condition.name;
   const Runs runs =
       RunAll<ShippedPolicy, OmniscientPolicy, RandomPolicy, RoundRobinPolicy,
-             LeastKnownHerePolicy, TwoChoicesPolicy>(shape, condition);
+             LeastLocalInFlightPolicy, TwoChoicesPolicy>(shape, condition);
   for (const auto& [policy, run] : runs)
     PrintRun(row, policy, run);
   const RunFigures& shipped = runs[0].second;
@@ -89,10 +91,9 @@
       {name + "/p99-to-best-baseline", shipped.Quantile(0.99) / best, "ratio"});
   AddToOmniscient(name, shipped.Quantile(0.99) / omniscient.Quantile(0.99),
                   report);
-  report.Add(
-      {name + "/goodput", shipped.Goodput(), "share", {}, kLeastGoodput});
+  report.Add({name + "/goodput", shipped.Goodput(), "share", {}, kMinGoodput});
   report.Add({name + "/amplification", shipped.Amplification(), "ratio",
-              kMostAmplification});
+              kMaxAmplification});
   report.Add({name + "/wrong", static_cast<double>(shipped.wrong), "calls", 0});
 }
 
--- a/tests/benchmarks/decisions/event_queue.h
+++ b/tests/benchmarks/decisions/event_queue.h
@@ -1,4 +1,4 @@
-// Virtual time: events run in the order of their times, then of their making.
+// Virtual time: runs events in order of time, then of creation.
 #ifndef DECISIONS_EVENT_QUEUE_H_
 #define DECISIONS_EVENT_QUEUE_H_
 
@@ -25,11 +25,11 @@
     At(now_ + delay, std::move(action));
   }
 
-  // Runs events until none is left.
+  // Runs events until the queue is empty.
   void Run() {
     while (!events_.empty()) {
-      // The queue is ordered by time and number only, so moving out the action
-      // does not disturb it.
+      // The queue is ordered by time and number only, so moving the action out
+      // does not affect the order.
       Event& next = const_cast<Event&>(events_.top());
       now_ = next.when;
       Action action = std::move(next.action);
--- a/tests/benchmarks/decisions/fleet_shape.h
+++ b/tests/benchmarks/decisions/fleet_shape.h
@@ -1,4 +1,4 @@
-// The two users' fleets, as they are today.
+// The fleets of the two users.
 #ifndef DECISIONS_FLEET_SHAPE_H_
 #define DECISIONS_FLEET_SHAPE_H_
 
@@ -14,7 +14,7 @@
   std::vector<std::string> data_centres;
   base::Duration between_data_centres;  // One way.
   int slots = 0;                        // Of each server.
-  // Servers of each service. The first is the one that the conditions strike.
+  // Number of servers of each service. Conditions affect the first service.
   std::vector<int> services;
 };
 
--- a/tests/benchmarks/decisions/ingress_run.h
+++ b/tests/benchmarks/decisions/ingress_run.h
@@ -1,4 +1,4 @@
-// One life of the ingress of a node: what it keeps for each service.
+// State of one incarnation of a simulated ingress, for each service.
 #ifndef DECISIONS_INGRESS_RUN_H_
 #define DECISIONS_INGRESS_RUN_H_
 
@@ -13,14 +13,14 @@
 
 namespace chestnutport::bench {
 
-// As a declaration may say.
+// Typical values of a service declaration.
 inline constexpr double kRetryShare = 0.1;
 inline constexpr double kHedgeShare = 0.02;
 
-// The budgets of ingress/service_traffic.cc.
+// The budgets correspond to those in ingress/service_traffic.cc.
 template <ChoosingPolicy Policy>
 struct ServiceRun {
-  explicit ServiceRun(const PolicyPlace& place) : policy(place) {}
+  explicit ServiceRun(const PolicyContext& context) : policy(context) {}
 
   Policy policy;
   calls::AdaptiveTimeouts timing;
--- a/tests/benchmarks/decisions/run_figures.h
+++ b/tests/benchmarks/decisions/run_figures.h
@@ -1,4 +1,4 @@
-// What one run of the benchmark measured.
+// Results of one run of the benchmark.
 #ifndef DECISIONS_RUN_FIGURES_H_
 #define DECISIONS_RUN_FIGURES_H_
 
@@ -9,26 +9,29 @@
 namespace chestnutport::bench {
 
 struct RunFigures {
-  // Milliseconds, of the calls that were answered well, sorted.
+  // Latencies of the successful calls in milliseconds, sorted.
   std::vector<double> latencies;
-  // The same of the calls of tenants that did not rush.
+  // Those of the tenants without a burst.
   std::vector<double> quiet_latencies;
   int64_t calls = 0;
-  int64_t answered = 0;  // Well and within the deadline.
-  int64_t failed = 0;    // The server's answer was a failure.
-  int64_t refused = 0;   // The caller was told "not run".
-  int64_t unknown = 0;   // The caller was told that it may have run.
-  int64_t retried = 0;   // Attempts beyond the first but hedges.
+  int64_t answered = 0;  // Successful within the deadline.
+  int64_t failed = 0;    // The server answered with a failure.
+  int64_t refused = 0;   // Reported to the caller as "not run".
+  int64_t unknown = 0;   // Reported to the caller as possibly run.
+  int64_t retried = 0;   // Attempts beyond the first, without hedges.
   int64_t hedged = 0;
   int64_t probes = 0;
-  int64_t leaf_calls = 0;  // First attempts of calls at the last level.
+  int64_t leaf_calls = 0;  // Calls at the last level.
   int64_t leaf_attempts = 0;
-  int64_t wrong = 0;    // Run twice, "not run" but run, no or two answers.
-  double capacity = 0;  // Calls that the fleet could answer in the time.
+  // Calls that ran twice, ran but were reported as "not run", or did not get
+  // exactly one answer.
+  int64_t wrong = 0;
+  double capacity = 0;  // Calls that the fleet could answer in the run.
 
   double Quantile(double share) const;
   double QuietQuantile(double share) const;
-  // Calls answered well, as a share of what was asked or could be done.
+  // Returns the successful calls as a share of the calls made or of the
+  // capacity.
   double Goodput() const;
   double Amplification() const;
 };
--- a/tests/benchmarks/decisions/server_answer.h
+++ b/tests/benchmarks/decisions/server_answer.h
@@ -1,4 +1,4 @@
-// What a fake server's side says of an attempt.
+// The answer of a simulated server and its node to an attempt.
 #ifndef DECISIONS_SERVER_ANSWER_H_
 #define DECISIONS_SERVER_ANSWER_H_
 
@@ -11,7 +11,7 @@
 
 struct ServerAnswer {
   routing::AttemptVerdict verdict = routing::AttemptVerdict::kAnswered;
-  base::ErrorKind error = base::ErrorKind::kInternal;  // Of a refusal.
+  base::ErrorKind error = base::ErrorKind::kInternal;  // For a refusal.
   base::Duration retry_after{};
   wire::LoadReport load;
 };
--- a/tests/benchmarks/decisions/shipped_policy.h
+++ b/tests/benchmarks/decisions/shipped_policy.h
@@ -1,4 +1,4 @@
-// The chooser that ships, as a policy of the benchmark.
+// The shipped chooser as a policy of the benchmark.
 #ifndef DECISIONS_SHIPPED_POLICY_H_
 #define DECISIONS_SHIPPED_POLICY_H_
 
@@ -10,10 +10,10 @@
 class ShippedPolicy : public routing::ServerChooser {
  public:
   static constexpr std::string_view kName = "shipped";
-  explicit ShippedPolicy(const PolicyPlace& place)
-      : routing::ServerChooser(place.own) {}
+  explicit ShippedPolicy(const PolicyContext& context)
+      : routing::ServerChooser(context.locality) {}
 
-  // For a caller's request, not a call that a server makes.
+  // Chooses a server for a caller's request, as opposed to a nested call.
   const routing::ServerCandidate* ChooseForCaller(
       std::span<const base::NodeId> excluded,
       base::Instant now,
--- a/tests/benchmarks/decisions/world.cc
+++ b/tests/benchmarks/decisions/simulated_fleet.cc
@@ -1,4 +1,4 @@
-#include "decisions/world.h"
+#include "decisions/simulated_fleet.h"
 
 #include <utility>
 
@@ -12,26 +12,28 @@
 
 constexpr microseconds kSameVm(20);
 constexpr microseconds kSameDataCentre(100);
-constexpr milliseconds kAnnouncementTakes(100);
+constexpr milliseconds kAnnouncementDelay(100);
 constexpr milliseconds kSuspicionAfter(500);
-constexpr milliseconds kGoneAfter(1000);
+constexpr milliseconds kRemovalAfter(1000);
 
 constexpr double kStragglerSpeed = 1 / 5.0;
-constexpr double kLiarSpeed = 1 / 3.0;
-constexpr double kTurnSpeed = 1 / 4.0;
-constexpr milliseconds kTurn(50);
+constexpr double kFalseReportSpeed = 1 / 3.0;
+constexpr double kAlternatingSpeed = 1 / 4.0;
+constexpr milliseconds kAlternationPeriod(50);
 
-// A cold server: its speed from step to step.
+// Speeds of a cold server, one for each step.
 constexpr double kColdSpeeds[] = {0.25, 0.4, 0.6, 0.8, 1};
 constexpr milliseconds kColdStep(60);
 
-constexpr milliseconds kDrainTakes(150);
-constexpr milliseconds kReplacementTakes(100);
-constexpr milliseconds kBetweenUpgrades(350);
+constexpr milliseconds kDrainTime(150);
+constexpr milliseconds kReplacementTime(100);
+constexpr milliseconds kUpgradeInterval(350);
 
 }  // namespace
 
-World::World(const FleetShape& shape, const Condition& condition, uint64_t seed)
+SimulatedFleet::SimulatedFleet(const FleetShape& shape,
+                               const Condition& condition,
+                               uint64_t seed)
     : shape_(shape), condition_(condition), random_(seed) {
   for (size_t service = 0; service < shape_.services.size(); ++service) {
     for (int i = 0; i < shape_.services[service]; ++i)
@@ -40,35 +42,37 @@
   current_.resize(service_of_vm_.size());
 }
 
-void World::Start(OnMembers on_members, OnNewLife on_new_life) {
+void SimulatedFleet::Start(OnMembersChanged on_members,
+                           OnNodeStarted on_node_started) {
   on_members_ = std::move(on_members);
-  on_new_life_ = std::move(on_new_life);
+  on_node_started_ = std::move(on_node_started);
   for (int vm = 0; vm < vms(); ++vm)
-    members_.push_back(NewLife(vm).candidate().node);
+    members_.push_back(StartNode(vm).candidate().node);
   on_members_();
   ScheduleCondition();
 }
 
-bool World::IsTakingCallers(int vm) const {
+bool SimulatedFleet::IsTakingCallers(int vm) const {
   return current_[vm]->is_up() && !current_[vm]->IsDraining();
 }
 
-FakeServer* World::Find(base::NodeId node) const {
+SimulatedServer* SimulatedFleet::Find(base::NodeId node) const {
   const auto found = by_id_.find(node);
   return found == by_id_.end() ? nullptr : found->second;
 }
 
-std::vector<routing::ServerCandidate> World::Candidates(int service) const {
+std::vector<routing::ServerCandidate> SimulatedFleet::Candidates(
+    int service) const {
   std::vector<routing::ServerCandidate> candidates;
   for (const base::NodeId& node : members_) {
-    FakeServer* server = Find(node);
+    SimulatedServer* server = Find(node);
     if (server->service() == service)
       candidates.push_back(server->announced());
   }
   return candidates;
 }
 
-Duration World::Distance(int vm, int other_vm) const {
+Duration SimulatedFleet::Distance(int vm, int other_vm) const {
   if (vm == other_vm)
     return kSameVm;
   if (DataCentreOf(vm) == DataCentreOf(other_vm))
@@ -76,42 +80,42 @@
   return shape_.between_data_centres;
 }
 
-int World::service_slots(int service) const {
+int SimulatedFleet::service_slots(int service) const {
   return shape_.services[service] * shape_.slots;
 }
 
-FakeServer& World::NewLife(int vm) {
+SimulatedServer& SimulatedFleet::StartNode(int vm) {
   routing::ServerCandidate candidate;
   candidate.node = base::NodeId::Draw(random_);
   candidate.data_centre = DataCentreOf(vm);
   candidate.region = shape_.user;
   candidate.slots = shape_.slots;
-  lives_.push_back(std::make_unique<FakeServer>(
+  servers_.push_back(std::make_unique<SimulatedServer>(
       queue_, candidate, service_of_vm_[vm], vm, condition_.report_delay));
-  FakeServer& server = *lives_.back();
+  SimulatedServer& server = *servers_.back();
   by_id_[candidate.node] = &server;
   current_[vm] = &server;
   server.StartTicking();
-  on_new_life_(vm);
+  on_node_started_(vm);
   return server;
 }
 
-void World::ScheduleCondition() {
+void SimulatedFleet::ScheduleCondition() {
   const Instant from = Instant(kFaultFrom);
-  FakeServer& victim = *current_[0];
+  SimulatedServer& victim = *current_[0];
   switch (condition_.kind) {
     case ConditionKind::kStraggler:
       victim.speed().Set(from, kStragglerSpeed);
       break;
-    case ConditionKind::kSlowTurns:
-      ScheduleSlowTurns();
+    case ConditionKind::kAlternatingSlowdown:
+      ScheduleAlternatingSlowdown();
       break;
     case ConditionKind::kFastFailing:
       victim.FailFrom(from);
       break;
-    case ConditionKind::kLyingReport:
-      victim.speed().Set(from, kLiarSpeed);
-      victim.LieFrom(from);
+    case ConditionKind::kFalseReport:
+      victim.speed().Set(from, kFalseReportSpeed);
+      victim.MisreportFrom(from);
       break;
     case ConditionKind::kRollingUpgrade:
       ScheduleUpgrade();
@@ -120,81 +124,83 @@
       ScheduleLoss();
       break;
     case ConditionKind::kSteady:
-    case ConditionKind::kTenantRush:
+    case ConditionKind::kTenantBurst:
     case ConditionKind::kChain:
       break;
   }
 }
 
-void World::ScheduleSlowTurns() {
+void SimulatedFleet::ScheduleAlternatingSlowdown() {
   int turn = 0;
   for (Instant when(kFaultFrom); when < Instant(kRunLength);
-       when += kTurn, ++turn) {
+       when += kAlternationPeriod, ++turn) {
     for (int vm = 0; vm < vms(); ++vm)
-      current_[vm]->speed().Set(when, vm % 2 == turn % 2 ? kTurnSpeed : 1);
+      current_[vm]->speed().Set(when,
+                                vm % 2 == turn % 2 ? kAlternatingSpeed : 1);
   }
 }
 
-void World::ScheduleUpgrade() {
+void SimulatedFleet::ScheduleUpgrade() {
   Instant when(kFaultFrom);
-  for (int vm = 0; vm < vms(); ++vm, when += kBetweenUpgrades)
+  for (int vm = 0; vm < vms(); ++vm, when += kUpgradeInterval)
     UpgradeOne(vm, when);
 }
 
-void World::UpgradeOne(int vm, Instant when) {
+void SimulatedFleet::UpgradeOne(int vm, Instant when) {
   queue_.At(when, [this, vm] {
-    FakeServer& leaving = *current_[vm];
+    SimulatedServer& leaving = *current_[vm];
     leaving.Drain();
-    queue_.After(kAnnouncementTakes, [this, &leaving] {
+    queue_.After(kAnnouncementDelay, [this, &leaving] {
       Announce(leaving, routing::ServerState::kDraining);
     });
-    queue_.After(kDrainTakes, [this, vm, &leaving] {
+    queue_.After(kDrainTime, [this, vm, &leaving] {
       leaving.Stop();
-      Forget(leaving.candidate().node);
-      queue_.After(kReplacementTakes, [this, vm] { ComeBackCold(vm); });
+      RemoveMember(leaving.candidate().node);
+      queue_.After(kReplacementTime, [this, vm] { RestartCold(vm); });
     });
   });
 }
 
-void World::ScheduleLoss() {
+void SimulatedFleet::ScheduleLoss() {
   for (int vm = 0; vm < vms(); ++vm) {
     if (DataCentreOf(vm) != shape_.data_centres.front())
       continue;
-    FakeServer& lost = *current_[vm];
+    SimulatedServer& lost = *current_[vm];
     queue_.At(Instant(kFaultFrom), [&lost] { lost.Stop(); });
     queue_.At(Instant(kFaultFrom + kSuspicionAfter), [this, &lost] {
       Announce(lost, routing::ServerState::kSuspected);
     });
-    queue_.At(Instant(kFaultFrom + kGoneAfter),
-              [this, &lost] { Forget(lost.candidate().node); });
-    queue_.At(Instant(kFaultUntil), [this, vm] { ComeBackCold(vm); });
+    queue_.At(Instant(kFaultFrom + kRemovalAfter),
+              [this, &lost] { RemoveMember(lost.candidate().node); });
+    queue_.At(Instant(kFaultUntil), [this, vm] { RestartCold(vm); });
   }
 }
 
-void World::ComeBackCold(int vm) {
-  FakeServer& server = NewLife(vm);
+void SimulatedFleet::RestartCold(int vm) {
+  SimulatedServer& server = StartNode(vm);
   Instant when = queue_.now();
   for (const double speed : kColdSpeeds) {
     server.speed().Set(when, speed);
     when += kColdStep;
   }
-  queue_.After(kAnnouncementTakes, [this, &server] {
+  queue_.After(kAnnouncementDelay, [this, &server] {
     members_.push_back(server.candidate().node);
     on_members_();
   });
 }
 
-void World::Announce(FakeServer& server, routing::ServerState state) {
+void SimulatedFleet::Announce(SimulatedServer& server,
+                              routing::ServerState state) {
   server.announced().state = state;
   on_members_();
 }
 
-void World::Forget(base::NodeId node) {
+void SimulatedFleet::RemoveMember(base::NodeId node) {
   std::erase(members_, node);
   on_members_();
 }
 
-std::string World::DataCentreOf(int vm) const {
+std::string SimulatedFleet::DataCentreOf(int vm) const {
   return shape_.data_centres[vm % shape_.data_centres.size()];
 }
 
--- a/tests/benchmarks/decisions/fake_server.cc
+++ b/tests/benchmarks/decisions/simulated_server.cc
@@ -1,4 +1,4 @@
-#include "decisions/fake_server.h"
+#include "decisions/simulated_server.h"
 
 #include "decisions/condition.h"
 
@@ -7,7 +7,7 @@
 
 constexpr std::chrono::milliseconds kTickInterval(10);
 constexpr base::Duration kLastTick = 2 * kRunLength;
-constexpr std::chrono::milliseconds kFailingTakes(1);
+constexpr std::chrono::milliseconds kFailureTime(1);
 
 admission::AdmissionOptions OptionsFor(
     const routing::ServerCandidate& candidate) {
@@ -18,11 +18,11 @@
 
 }  // namespace
 
-FakeServer::FakeServer(EventQueue& queue,
-                       const routing::ServerCandidate& candidate,
-                       int service,
-                       int vm,
-                       base::Duration report_delay)
+SimulatedServer::SimulatedServer(EventQueue& queue,
+                                 const routing::ServerCandidate& candidate,
+                                 int service,
+                                 int vm,
+                                 base::Duration report_delay)
     : queue_(queue),
       candidate_(candidate),
       announced_(candidate),
@@ -31,15 +31,16 @@
       report_delay_(report_delay),
       admission_(OptionsFor(candidate)) {}
 
-void FakeServer::Arrive(const admission::Arrival& arrival, Job job) {
+void SimulatedServer::Arrive(const admission::Arrival& arrival, Job job) {
   if (!is_up_)
     return;
   jobs_[arrival.attempt] = std::move(job);
   Perform(admission_.Arrive(arrival, queue_.now()));
 }
 
-calls::AttemptStatus FakeServer::Settle(const base::AttemptId& attempt,
-                                        bool cancel) {
+calls::AttemptStatus SimulatedServer::SendCommand(
+    const base::AttemptId& attempt,
+    bool cancel) {
   using calls::AttemptStatus;
   if (!is_up_)
     return AttemptStatus::kNoAnswer;
@@ -64,22 +65,22 @@
   return AttemptStatus::kNoAnswer;
 }
 
-void FakeServer::Drain() {
+void SimulatedServer::Drain() {
   Perform(admission_.StartDrain(queue_.now()));
 }
 
-void FakeServer::StartTicking() {
+void SimulatedServer::StartTicking() {
   queue_.After(kTickInterval, [this] { Tick(); });
 }
 
-void FakeServer::Tick() {
+void SimulatedServer::Tick() {
   if (!is_up_ || queue_.now() > base::Instant(kLastTick))
     return;
   Perform(admission_.Tick(queue_.now()));
   StartTicking();
 }
 
-void FakeServer::Perform(const admission::AdmissionActions& actions) {
+void SimulatedServer::Perform(const admission::AdmissionActions& actions) {
   for (const admission::AdmissionAction& action : actions) {
     if (action.kind == admission::ActionKind::kStart) {
       Start(action.attempt);
@@ -90,27 +91,27 @@
   }
 }
 
-void FakeServer::Start(const base::AttemptId& attempt) {
+void SimulatedServer::Start(const base::AttemptId& attempt) {
   const Job& job = jobs_[attempt];
   job.on_start();
   if (IsFailing()) {
-    queue_.After(kFailingTakes, [this, attempt] { Finish(attempt, false); });
+    queue_.After(kFailureTime, [this, attempt] { Finish(attempt, false); });
     return;
   }
   queue_.At(speed_.EndOf(queue_.now(), job.work), [this, attempt] {
     const auto found = jobs_.find(attempt);
     if (!is_up_ || found == jobs_.end())
       return;
-    if (found->second.call_further) {
-      const auto call_further = std::move(found->second.call_further);
-      call_further([this, attempt](bool ok) { Finish(attempt, ok); });
+    if (found->second.make_nested_call) {
+      const auto make_nested_call = std::move(found->second.make_nested_call);
+      make_nested_call([this, attempt](bool ok) { Finish(attempt, ok); });
       return;
     }
     Finish(attempt, true);
   });
 }
 
-void FakeServer::Finish(const base::AttemptId& attempt, bool ok) {
+void SimulatedServer::Finish(const base::AttemptId& attempt, bool ok) {
   if (!is_up_)
     return;
   const auto actions = admission_.Finish(attempt, queue_.now());
@@ -119,7 +120,8 @@
   Perform(actions);
 }
 
-void FakeServer::Answer(const base::AttemptId& attempt, ServerAnswer answer) {
+void SimulatedServer::Answer(const base::AttemptId& attempt,
+                             ServerAnswer answer) {
   auto node = jobs_.extract(attempt);
   if (node.empty())
     return;
@@ -127,10 +129,10 @@
   node.mapped().on_answer(answer);
 }
 
-wire::LoadReport FakeServer::Report() {
+wire::LoadReport SimulatedServer::Report() {
   const base::Instant now = queue_.now();
   wire::LoadReport report = admission_.Load(now);
-  if (lies_from_ && *lies_from_ <= now)
+  if (misreports_from_ && *misreports_from_ <= now)
     report = {0, candidate_.slots, 0, {}};
   if (report_delay_ == base::Duration::zero())
     return report;
--- a/tests/benchmarks/decisions/fake_server.h
+++ b/tests/benchmarks/decisions/simulated_server.h
@@ -1,7 +1,7 @@
-// One life of a server and the node beside it: the shipped admission code in
-// front of a server whose speed follows a profile.
-#ifndef DECISIONS_FAKE_SERVER_H_
-#define DECISIONS_FAKE_SERVER_H_
+// Simulates one incarnation of a server and the node on its VM: the shipped
+// admission code in front of a server whose speed follows a profile.
+#ifndef DECISIONS_SIMULATED_SERVER_H_
+#define DECISIONS_SIMULATED_SERVER_H_
 
 #include <deque>
 #include <functional>
@@ -18,29 +18,29 @@
 
 namespace chestnutport::bench {
 
-// An attempt's work on a server.
+// The work of an attempt on a server.
 struct Job {
   base::Duration work{};
   std::function<void()> on_start;
-  // Called after the work, if set; the server answers once `done` is called.
-  std::function<void(std::function<void(bool ok)> done)> call_further;
+  // Called after the work if set. The server answers once `done` is called.
+  std::function<void(std::function<void(bool ok)> done)> make_nested_call;
   std::function<void(const ServerAnswer&)> on_answer;
 };
 
-class FakeServer {
+class SimulatedServer {
  public:
-  FakeServer(EventQueue& queue,
-             const routing::ServerCandidate& candidate,
-             int service,
-             int vm,
-             base::Duration report_delay);
+  SimulatedServer(EventQueue& queue,
+                  const routing::ServerCandidate& candidate,
+                  int service,
+                  int vm,
+                  base::Duration report_delay);
 
   void Arrive(const admission::Arrival& arrival, Job job);
-  // As the gate answers a question about an attempt.
-  calls::AttemptStatus Settle(const base::AttemptId& attempt, bool cancel);
+  // Queries the attempt's status or cancels it, like a gate.
+  calls::AttemptStatus SendCommand(const base::AttemptId& attempt, bool cancel);
 
   void Drain();
-  // Whatever is in it is lost, and nothing is answered any more.
+  // Loses all requests; the server does not answer any more.
   void Stop() { is_up_ = false; }
   void StartTicking();
 
@@ -49,16 +49,16 @@
   int service() const { return service_; }
   int vm() const { return vm_; }
   const routing::ServerCandidate& candidate() const { return candidate_; }
-  // As the fleet sees it at this moment.
+  // The server as currently known to the fleet.
   routing::ServerCandidate& announced() { return announced_; }
 
   SpeedProfile& speed() { return speed_; }
   const SpeedProfile& speed() const { return speed_; }
   void FailFrom(base::Instant when) { fails_from_ = when; }
   bool IsFailing() const { return fails_from_ && *fails_from_ <= queue_.now(); }
-  void LieFrom(base::Instant when) { lies_from_ = when; }
+  void MisreportFrom(base::Instant when) { misreports_from_ = when; }
 
-  // Attempts sent to it and not ended, counted without delay.
+  // Attempts sent to the server and not ended, counted without delay.
   int outstanding() const { return outstanding_; }
   void AddOutstanding(int change) { outstanding_ += change; }
 
@@ -80,7 +80,7 @@
   SpeedProfile speed_;
   bool is_up_ = true;
   std::optional<base::Instant> fails_from_;
-  std::optional<base::Instant> lies_from_;
+  std::optional<base::Instant> misreports_from_;
   int outstanding_ = 0;
   absl::flat_hash_map<base::AttemptId, Job> jobs_;
   std::deque<std::pair<base::Instant, wire::LoadReport>> reports_;
@@ -88,4 +88,4 @@
 
 }  // namespace chestnutport::bench
 
-#endif  // DECISIONS_FAKE_SERVER_H_
+#endif  // DECISIONS_SIMULATED_SERVER_H_
--- a/tests/benchmarks/decisions/simulation.h
+++ b/tests/benchmarks/decisions/simulation.h
@@ -1,5 +1,5 @@
-// One run: the shipped decision code and a policy for choosing servers, in
-// virtual time. It drives decisions; it is no model of a cluster.
+// Runs the shipped decision code with a policy for choosing servers in virtual
+// time. Exercises the decisions; not a realistic model of a cluster.
 #ifndef DECISIONS_SIMULATION_H_
 #define DECISIONS_SIMULATION_H_
 
@@ -21,60 +21,62 @@
 class Simulation {
  public:
   Simulation(const FleetShape& shape, const Condition& condition, uint64_t seed)
-      : seed_(seed), world_(shape, condition, seed) {}
+      : seed_(seed), fleet_(shape, condition, seed) {}
 
   RunFigures Run() {
-    requests_ = DrawRequests(world_.shape(), world_.condition(), seed_);
-    ingresses_.resize(world_.vms());
-    world_.Start([this] { OnMembers(); }, [this](int vm) { OnNewLife(vm); });
+    requests_ = DrawRequests(fleet_.shape(), fleet_.condition(), seed_);
+    ingresses_.resize(fleet_.vms());
+    fleet_.Start([this] { OnMembersChanged(); },
+                 [this](int vm) { OnNodeStarted(vm); });
     for (const CallerRequest& request : requests_)
-      world_.queue().At(request.arrival, [this, &request] { Begin(request); });
-    world_.queue().Run();
+      fleet_.queue().At(request.arrival, [this, &request] { Begin(request); });
+    fleet_.queue().Run();
     return Figures();
   }
 
  private:
   using Ingress = IngressRun<Policy>;
 
-  // How long it takes to find that no connection can be opened.
+  // Time after which an attempt to open a connection fails.
   static constexpr std::chrono::milliseconds kConnectTimeout{500};
-  static constexpr std::chrono::milliseconds kSettleTimeout{500};
+  static constexpr std::chrono::milliseconds kCommandTimeout{500};
 
-  base::Instant now() const { return world_.queue().now(); }
+  base::Instant now() const { return fleet_.queue().now(); }
 
-  void OnNewLife(int vm) {
+  void OnNodeStarted(int vm) {
     auto ingress = std::make_unique<Ingress>();
     ingress->vm = vm;
     ingress->origin = ++last_origin_;
     ingress->random.seed(seed_ + ingress->origin);
-    const auto& candidate = world_.ServerOf(vm).candidate();
-    for (size_t i = 0; i < world_.shape().services.size(); ++i) {
-      const PolicyPlace place{
-          world_,
+    const auto& candidate = fleet_.ServerOf(vm).candidate();
+    for (size_t i = 0; i < fleet_.shape().services.size(); ++i) {
+      const PolicyContext context{
+          fleet_,
           vm,
           {candidate.data_centre, candidate.region, candidate.node}};
-      ingress->services.push_back(std::make_unique<ServiceRun<Policy>>(place));
+      ingress->services.push_back(
+          std::make_unique<ServiceRun<Policy>>(context));
       ingress->services.back()->policy.SetServers(
-          world_.Candidates(static_cast<int>(i)), now());
+          fleet_.Candidates(static_cast<int>(i)), now());
     }
     if (ingresses_[vm])
       retired_.push_back(std::move(ingresses_[vm]));
     ingresses_[vm] = std::move(ingress);
   }
 
-  void OnMembers() {
+  void OnMembersChanged() {
     for (auto& ingress : ingresses_) {
       for (size_t i = 0; i < ingress->services.size(); ++i) {
         ingress->services[i]->policy.SetServers(
-            world_.Candidates(static_cast<int>(i)), now());
+            fleet_.Candidates(static_cast<int>(i)), now());
       }
     }
   }
 
   void Begin(const CallerRequest& request) {
     int vm = request.vm;
-    while (!world_.IsTakingCallers(vm))
-      vm = (vm + 1) % world_.vms();
+    while (!fleet_.IsTakingCallers(vm))
+      vm = (vm + 1) % fleet_.vms();
     Ingress& ingress = *ingresses_[vm];
     calls::CallPolicy policy;
     policy.is_repeatable = request.is_repeatable;
@@ -83,7 +85,7 @@
     call.tenant = request.tenant;
     call.work = request.work;
     call.is_measured = now() >= base::Instant(kWarmUp);
-    Follow(ingress, call, call.decision.Start(now()));
+    RunSteps(ingress, call, call.call_state.Start(now()));
   }
 
   CallRun& NewCall(Ingress& ingress,
@@ -92,8 +94,8 @@
                    base::Instant deadline) {
     ingress.services[service]->timing.Apply(kHedgeShare, policy);
     calls_.push_back(
-        CallRun{.decision = calls::Call(policy, now(), deadline,
-                                        ingress.Budgets(service))});
+        CallRun{.call_state = calls::Call(policy, now(), deadline,
+                                          ingress.Budgets(service))});
     CallRun& call = calls_.back();
     call.service = service;
     call.is_repeatable = policy.is_repeatable;
@@ -101,30 +103,31 @@
     return call;
   }
 
-  // The same as the ingress of a node does with its steps.
-  void Follow(Ingress& ingress, CallRun& call, calls::NextSteps steps) {
+  // Carries out steps like the ingress of a node.
+  void RunSteps(Ingress& ingress, CallRun& call, calls::NextSteps steps) {
     for (size_t i = 0; i < steps.size(); ++i)
-      Perform(ingress, call, calls::NextStep(steps[i]), steps);
-    if (!call.decision.IsOver())
+      RunStep(ingress, call, calls::NextStep(steps[i]), steps);
+    if (!call.call_state.IsOver())
       SetTimer(ingress, call);
   }
 
-  void Perform(Ingress& ingress,
+  void RunStep(Ingress& ingress,
                CallRun& call,
                const calls::NextStep& step,
                calls::NextSteps& steps) {
     switch (step.step) {
       case calls::Step::kSend:
         if (!Send(ingress, call, step.attempt)) {
-          for (const auto& next : call.decision.OnNoServer(step.attempt, now()))
+          for (const auto& next :
+               call.call_state.OnNoServer(step.attempt, now()))
             steps.push_back(next);
         }
         return;
       case calls::Step::kQueryStatus:
-        Settle(ingress, call, step.attempt, false);
+        SendCommand(ingress, call, step.attempt, false);
         return;
       case calls::Step::kCancel:
-        Settle(ingress, call, step.attempt, true);
+        SendCommand(ingress, call, step.attempt, true);
         return;
       case calls::Step::kCloseConnection:
         End(ingress, call, step.attempt, routing::AttemptVerdict::kUnreachable,
@@ -132,7 +135,7 @@
         return;
       case calls::Step::kAbandon:
         call.attempts[step.attempt].is_abandoned = true;
-        Settle(ingress, call, step.attempt, true);
+        SendCommand(ingress, call, step.attempt, true);
         return;
       case calls::Step::kRelayAnswer:
         call.ok = call.attempts[step.attempt].ok;
@@ -145,19 +148,19 @@
   }
 
   void SetTimer(Ingress& ingress, CallRun& call) {
-    const base::Instant next = call.decision.next_timer();
+    const base::Instant next = call.call_state.next_timer();
     if (call.timer_at <= next)
       return;
     call.timer_at = next;
-    world_.queue().At(next, [this, &ingress, &call, next] {
-      if (call.timer_at != next || call.decision.IsOver())
+    fleet_.queue().At(next, [this, &ingress, &call, next] {
+      if (call.timer_at != next || call.call_state.IsOver())
         return;
       call.timer_at = base::Instant::max();
-      const calls::NextSteps steps = call.decision.OnTimer(now());
-      // An attempt that a timer starts is a hedge.
+      const calls::NextSteps steps = call.call_state.OnTimer(now());
+      // Attempts started by the timer are hedges.
       hedged_ +=
           std::ranges::count(steps, calls::Step::kSend, &calls::NextStep::step);
-      Follow(ingress, call, steps);
+      RunSteps(ingress, call, steps);
     });
   }
 
@@ -165,12 +168,12 @@
                                                const CallRun& call,
                                                base::Random& random) {
     if constexpr (requires {
-                    policy.ChooseForCaller(call.tried, now(), random);
+                    policy.ChooseForCaller(call.tried_nodes, now(), random);
                   }) {
       if (call.depth == 0)
-        return policy.ChooseForCaller(call.tried, now(), random);
+        return policy.ChooseForCaller(call.tried_nodes, now(), random);
     }
-    return policy.Choose(call.tried, now(), random);
+    return policy.Choose(call.tried_nodes, now(), random);
   }
 
   bool Send(Ingress& ingress, CallRun& call, int attempt) {
@@ -179,16 +182,16 @@
     const auto* chosen = ChooseServer(policy, call, ingress.random);
     if (!chosen)
       return false;
-    call.tried.push_back(chosen->node);
+    call.tried_nodes.push_back(chosen->node);
     AttemptRun& run = call.attempts[attempt];
     run.id = {ingress.origin, ++ingress.last_attempt};
-    run.server = world_.Find(chosen->node);
+    run.server = fleet_.Find(chosen->node);
     run.sent_at = now();
     run.is_open = true;
     policy.OnSent(chosen->node, now());
     run.server->AddOutstanding(1);
-    const auto distance = world_.Distance(ingress.vm, run.server->vm());
-    world_.queue().After(distance, [this, &ingress, &call, attempt] {
+    const auto distance = fleet_.Distance(ingress.vm, run.server->vm());
+    fleet_.queue().After(distance, [this, &ingress, &call, attempt] {
       Arrive(ingress, call, attempt);
     });
     return true;
@@ -196,9 +199,9 @@
 
   void Arrive(Ingress& ingress, CallRun& call, int attempt) {
     const AttemptRun& run = call.attempts[attempt];
-    FakeServer& server = *run.server;
+    SimulatedServer& server = *run.server;
     if (!server.is_up()) {
-      world_.queue().At(
+      fleet_.queue().At(
           run.sent_at + kConnectTimeout, [this, &ingress, &call, attempt] {
             OnEnd(ingress, call, attempt, routing::AttemptVerdict::kUnreachable,
                   {calls::AttemptVerdict::kNotSent});
@@ -206,44 +209,44 @@
       return;
     }
     server.Arrive({run.id, "tenant-" + std::to_string(call.tenant), "",
-                   call.decision.deadline()},
+                   call.call_state.deadline()},
                   MakeJob(ingress, call, attempt));
   }
 
   Job MakeJob(Ingress& ingress, CallRun& call, int attempt) {
-    FakeServer& server = *call.attempts[attempt].server;
-    const auto distance = world_.Distance(ingress.vm, server.vm());
+    SimulatedServer& server = *call.attempts[attempt].server;
+    const auto distance = fleet_.Distance(ingress.vm, server.vm());
     Job job;
     job.work = call.work;
     job.on_start = [&call] { ++call.executions; };
     if (IsChain() && call.depth + 1 < kChainDepth) {
-      job.call_further = [this, &server, &call](auto done) {
-        CallFurther(server, call, std::move(done));
+      job.make_nested_call = [this, &server, &call](auto done) {
+        MakeNestedCall(server, call, std::move(done));
       };
     }
     job.on_answer = [this, &ingress, &call, attempt,
                      distance](const ServerAnswer& answer) {
-      world_.queue().After(distance, [this, &ingress, &call, attempt, answer] {
+      fleet_.queue().After(distance, [this, &ingress, &call, attempt, answer] {
         OnAnswer(ingress, call, attempt, answer);
       });
     };
     return job;
   }
 
-  void CallFurther(FakeServer& server,
-                   const CallRun& parent,
-                   std::function<void(bool ok)> done) {
+  void MakeNestedCall(SimulatedServer& server,
+                      const CallRun& parent,
+                      std::function<void(bool ok)> done) {
     Ingress& ingress = *ingresses_[server.vm()];
     const int depth = parent.depth + 1;
     calls::CallPolicy policy;
     policy.is_repeatable = parent.is_repeatable;
     policy.is_retried_above = true;
-    CallRun& call = NewCall(ingress, ServiceAtDepth(world_.shape(), depth),
-                            policy, parent.decision.deadline());
+    CallRun& call = NewCall(ingress, ServiceAtDepth(fleet_.shape(), depth),
+                            policy, parent.call_state.deadline());
     call.depth = depth;
     call.work = ChainWork(depth, now());
     call.on_end = std::move(done);
-    Follow(ingress, call, call.decision.Start(now()));
+    RunSteps(ingress, call, call.call_state.Start(now()));
   }
 
   void OnAnswer(Ingress& ingress,
@@ -274,10 +277,12 @@
     if (is_abandoned && verdict != routing::AttemptVerdict::kAnswered)
       verdict = routing::AttemptVerdict::kCancelled;
     if (End(ingress, call, attempt, verdict, load) && !is_abandoned)
-      Follow(ingress, call, call.decision.OnAttemptEnd(attempt, end, now()));
+      RunSteps(ingress, call,
+               call.call_state.OnAttemptEnd(attempt, end, now()));
   }
 
-  // Tells the policy of the end of an attempt; false if it ended before.
+  // Reports the end of an attempt to the policy. Returns false if it had
+  // already ended.
   bool End(Ingress& ingress,
            CallRun& call,
            int attempt,
@@ -294,26 +299,26 @@
     return true;
   }
 
-  void Settle(Ingress& ingress, CallRun& call, int attempt, bool cancel) {
-    FakeServer& server = *call.attempts[attempt].server;
-    const base::Instant asked_at = now();
-    const auto distance = world_.Distance(ingress.vm, server.vm());
-    world_.queue().After(distance, [this, &ingress, &call, attempt, cancel,
-                                    asked_at, distance, &server] {
-      const auto answer = server.Settle(call.attempts[attempt].id, cancel);
+  void SendCommand(Ingress& ingress, CallRun& call, int attempt, bool cancel) {
+    SimulatedServer& server = *call.attempts[attempt].server;
+    const base::Instant command_sent_at = now();
+    const auto distance = fleet_.Distance(ingress.vm, server.vm());
+    fleet_.queue().After(distance, [this, &ingress, &call, attempt, cancel,
+                                    command_sent_at, distance, &server] {
+      const auto answer = server.SendCommand(call.attempts[attempt].id, cancel);
       const bool is_answered = answer != calls::AttemptStatus::kNoAnswer;
       const base::Instant back =
-          is_answered ? now() + distance : asked_at + kSettleTimeout;
-      world_.queue().At(back, [this, &ingress, &call, attempt, cancel, asked_at,
-                               answer, is_answered] {
+          is_answered ? now() + distance : command_sent_at + kCommandTimeout;
+      fleet_.queue().At(back, [this, &ingress, &call, attempt, cancel,
+                               command_sent_at, answer, is_answered] {
         if (call.attempts[attempt].is_abandoned)
           return;
         if (is_answered) {
-          ingress.services[call.service]->timing.OnStatusReply(now() - asked_at,
-                                                               now());
+          ingress.services[call.service]->timing.OnStatusReply(
+              now() - command_sent_at, now());
         }
-        Follow(ingress, call,
-               call.decision.OnStatusReply(attempt, answer, cancel, now()));
+        RunSteps(ingress, call,
+                 call.call_state.OnStatusReply(attempt, answer, cancel, now()));
       });
     });
   }
@@ -327,13 +332,13 @@
   }
 
   bool IsChain() const {
-    return world_.condition().kind == ConditionKind::kChain;
+    return fleet_.condition().kind == ConditionKind::kChain;
   }
 
   RunFigures Figures() const {
     RunFigures figures;
     const auto measured = std::chrono::duration<double>(kRunLength - kWarmUp);
-    figures.capacity = CapacityPerSecond(world_.shape()) * measured.count();
+    figures.capacity = CapacityPerSecond(fleet_.shape()) * measured.count();
     for (const CallRun& call : calls_)
       Count(call, figures);
     figures.hedged = hedged_;
@@ -380,16 +385,16 @@
     ++figures.answered;
     const std::chrono::duration<double, std::milli> latency = took;
     figures.latencies.push_back(latency.count());
-    if (call.tenant != kRushingTenant)
+    if (call.tenant != kBurstingTenant)
       figures.quiet_latencies.push_back(latency.count());
   }
 
   uint64_t seed_;
-  World world_;
+  SimulatedFleet fleet_;
   std::vector<CallerRequest> requests_;
   uint64_t last_origin_ = 0;
   int64_t hedged_ = 0;
-  std::vector<std::unique_ptr<Ingress>> ingresses_;  // By VM.
+  std::vector<std::unique_ptr<Ingress>> ingresses_;  // Indexed by VM.
   std::vector<std::unique_ptr<Ingress>> retired_;
   std::deque<CallRun> calls_;
 };
--- a/tests/benchmarks/decisions/speed_profile.h
+++ b/tests/benchmarks/decisions/speed_profile.h
@@ -1,4 +1,4 @@
-// How fast a server works over time: 1 is its normal speed.
+// The speed of a server over time, relative to its normal speed.
 #ifndef DECISIONS_SPEED_PROFILE_H_
 #define DECISIONS_SPEED_PROFILE_H_
 
@@ -10,13 +10,13 @@
 
 class SpeedProfile {
  public:
-  // From `from` on the speed is `speed`. Called in the order of time.
+  // Sets the speed from `from` on. Must be called in order of time.
   void Set(base::Instant from, double speed) {
     steps_.push_back({from, speed});
   }
 
   double SpeedAt(base::Instant when) const;
-  // When `work`, begun at `start`, is done.
+  // Returns when `work` that begins at `start` is done.
   base::Instant EndOf(base::Instant start, base::Duration work) const;
 
  private:
--- a/tests/benchmarks/decisions/workload.cc
+++ b/tests/benchmarks/decisions/workload.cc
@@ -11,12 +11,13 @@
 using base::Duration;
 using base::Instant;
 
-constexpr double kRush = 3;
+constexpr double kBurstFactor = 3;
 constexpr double kChainsPerSecond = 25;
 constexpr std::chrono::milliseconds kChainWorkOfLevel(1);
-constexpr int kSlowLeaf = 10;
-// Of the logarithm of the work: the longest of 100 takes 2.3 times the mean.
-constexpr double kSpread = 0.4;
+constexpr int kSlowLeafFactor = 10;
+// Standard deviation of the logarithm of the work: the longest of 100 requests
+// takes 2.3 times the mean.
+constexpr double kLogWorkDeviation = 0.4;
 constexpr int kLevelsBetweenSmallService = 4;
 
 double MeanWorkSeconds() {
@@ -25,7 +26,8 @@
 
 Duration DrawWork(base::Random& random) {
   std::lognormal_distribution<double> work(
-      std::log(MeanWorkSeconds()) - kSpread * kSpread / 2, kSpread);
+      std::log(MeanWorkSeconds()) - kLogWorkDeviation * kLogWorkDeviation / 2,
+      kLogWorkDeviation);
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(work(random)));
 }
@@ -34,21 +36,21 @@
   return std::accumulate(shape.services.begin(), shape.services.end(), 0);
 }
 
-// Whether a request of the rushing tenant is one of its usual ones.
-bool IsRush(const Condition& condition, Instant now) {
-  return condition.kind == ConditionKind::kTenantRush &&
+// Whether the burst of one tenant is active at `now`.
+bool IsBurst(const Condition& condition, Instant now) {
+  return condition.kind == ConditionKind::kTenantBurst &&
          now >= Instant(kFaultFrom) && now < Instant(kFaultUntil);
 }
 
-int DrawTenant(bool is_rush, base::Random& random) {
+int DrawTenant(bool is_burst, base::Random& random) {
   std::vector<double> shares(kTenants, 1.0);
-  if (is_rush)
-    shares[kRushingTenant] = kRush;
+  if (is_burst)
+    shares[kBurstingTenant] = kBurstFactor;
   return std::discrete_distribution<int>(shares.begin(), shares.end())(random);
 }
 
 CallerRequest DrawRequest(const FleetShape& shape,
-                          bool is_rush,
+                          bool is_burst,
                           Instant now,
                           base::Random& random) {
   CallerRequest request;
@@ -57,7 +59,7 @@
       std::uniform_int_distribution<int>(0, Servers(shape) - 1)(random);
   request.service = std::discrete_distribution<int>(
       shape.services.begin(), shape.services.end())(random);
-  request.tenant = DrawTenant(is_rush, random);
+  request.tenant = DrawTenant(is_burst, random);
   request.is_repeatable = std::bernoulli_distribution(0.5)(random);
   request.work = DrawWork(random);
   return request;
@@ -75,13 +77,13 @@
   std::vector<CallerRequest> requests;
   Instant now{};
   while (now < Instant(kRunLength)) {
-    const bool is_rush = IsRush(condition, now);
+    const bool is_burst = IsBurst(condition, now);
     const double rate =
-        is_rush ? usual * (kTenants - 1 + kRush) / kTenants : usual;
+        is_burst ? usual * (kTenants - 1 + kBurstFactor) / kTenants : usual;
     std::exponential_distribution<double> gap(rate);
     now += std::chrono::duration_cast<Duration>(
         std::chrono::duration<double>(gap(random)));
-    CallerRequest request = DrawRequest(shape, is_rush, now, random);
+    CallerRequest request = DrawRequest(shape, is_burst, now, random);
     if (is_chain) {
       request.service = ServiceAtDepth(shape, 0);
       request.is_repeatable = true;
@@ -96,7 +98,7 @@
   return Servers(shape) * shape.slots / MeanWorkSeconds();
 }
 
-Duration MeanHold(const FleetShape& shape, const Condition& condition) {
+Duration MeanSlotTime(const FleetShape& shape, const Condition& condition) {
   if (condition.kind != ConditionKind::kChain)
     return kMeanWork;
   return kChainDepth / 2 * (kChainWorkOfLevel + 2 * shape.between_data_centres);
@@ -111,7 +113,7 @@
 Duration ChainWork(int depth, Instant now) {
   const bool is_slow = depth == kChainDepth - 1 && now >= Instant(kFaultFrom) &&
                        now < Instant(kFaultUntil);
-  return is_slow ? kSlowLeaf * kChainWorkOfLevel : kChainWorkOfLevel;
+  return is_slow ? kSlowLeafFactor * kChainWorkOfLevel : kChainWorkOfLevel;
 }
 
 }  // namespace chestnutport::bench
