--- a/src/libs/routing/attempt_result.h
+++ b/src/libs/routing/attempt_result.h
@@ -1,4 +1,4 @@
-// How an attempt went, as far as the choice of servers is concerned.
+// The result of an attempt, as far as it matters for choosing servers.
 #ifndef ROUTING_ATTEMPT_RESULT_H_
 #define ROUTING_ATTEMPT_RESULT_H_
 
@@ -12,15 +12,15 @@
 enum class AttemptVerdict {
   kAnswered,     // The server answered, below status 500.
   kFailed,       // The server answered with a status of 500 or more.
-  kRefused,      // Its node refused the attempt; it did not run.
-  kUnreachable,  // No connection, or one that was lost or went silent.
-  kCancelled,    // Ended by this side; says nothing about the server.
+  kRefused,      // The server's node refused the attempt; it did not run.
+  kUnreachable,  // No connection, or one that was lost or stopped responding.
+  kCancelled,    // Ended by this node; no evidence about the server.
 };
 
 struct AttemptResult {
   AttemptVerdict verdict = AttemptVerdict::kAnswered;
   base::Duration latency{};  // From sending to the end of the answer.
-  std::optional<wire::LoadReport> load;  // If the answer carried one.
+  std::optional<wire::LoadReport> load;  // If the answer included one.
 };
 
 }  // namespace chestnutport::routing
--- a/src/libs/routing/locality.h
+++ b/src/libs/routing/locality.h
@@ -1,4 +1,4 @@
-// Where the node that chooses is, and how far others are from there.
+// The location of the node that chooses servers, and its distance from others.
 #ifndef ROUTING_LOCALITY_H_
 #define ROUTING_LOCALITY_H_
 
@@ -15,7 +15,8 @@
   std::string region;
   base::NodeId node;
 
-  // A usual round trip; what differs from it shows in the latencies.
+  // Returns the typical round trip to the server's node. Deviations from it
+  // appear in the measured latencies.
   base::Duration RoundTripTo(const ServerCandidate& server) const;
 };
 
--- a/src/libs/routing/recent_strain.cc
+++ b/src/libs/routing/recent_strain.cc
@@ -5,7 +5,8 @@
 namespace chestnutport::routing {
 namespace {
 
-constexpr size_t kUsualRankDivisor = 8;  // Of the reports, from the lowest on.
+// Rank of the usual strain among the sorted reports: one part in so many.
+constexpr size_t kUsualRankDivisor = 8;
 
 }  // namespace
 
--- a/src/libs/routing/recent_strain.h
+++ b/src/libs/routing/recent_strain.h
@@ -1,8 +1,9 @@
-// How much work a good answer of a service costs as a rule just now, from what
-// the gates of its servers reported last.
+// Estimates the usual strain of a service's servers from recent load reports.
+// Strain: the work that a successful answer costs, relative to normal.
 //
-// After all VMs of a fleet started, every server is cold, and none is a poor
-// choice for being as slow as the rest.
+// Servers are compared with this instead of with 1, because after all VMs of a
+// fleet started every server is cold, and none is a poor choice for being as
+// slow as the others.
 #ifndef ROUTING_RECENT_STRAIN_H_
 #define ROUTING_RECENT_STRAIN_H_
 
@@ -13,21 +14,23 @@
 
 class RecentStrain {
  public:
-  // A gate said that a good answer costs `strain` times the usual work.
+  // Records the strain reported by one server's gate.
   void OnReport(double strain);
 
-  // What an eighth of the recent reports do not exceed; at least 1. So few,
-  // because servers under a busy neighbour hand work back and so report more
-  // often: with a third of the servers slow, six reports of ten say so.
+  // Returns the lowest eighth (12.5th percentile) of the recent reports, at
+  // least 1. The percentile is low because slow servers return work and so
+  // report more often: with a third of the servers slow, six of ten reports
+  // come from them.
   double usual() const { return usual_; }
 
  private:
-  // Reports kept: enough for an eighth of them to be more than one, few enough
-  // that a node with some ten requests a second notices a change within one.
+  // Enough reports that an eighth of them is more than one, and few enough that
+  // a node with about ten requests per second notices a change within one
+  // second.
   static constexpr size_t kMaxReports = 12;
 
   std::array<double, kMaxReports> reports_{};
-  size_t count_ = 0;  // Of all reports, also those not kept any more.
+  size_t count_ = 0;  // Of all reports, including those overwritten.
   double usual_ = 1;
 };
 
--- a/src/libs/routing/server_candidate.h
+++ b/src/libs/routing/server_candidate.h
@@ -1,4 +1,4 @@
-// A server that a request may be sent to, as membership describes it.
+// A server that requests may be sent to, as known from the membership.
 #ifndef ROUTING_SERVER_CANDIDATE_H_
 #define ROUTING_SERVER_CANDIDATE_H_
 
@@ -11,18 +11,20 @@
 
 enum class ServerState {
   kServing,
-  kSuspected,  // Its node does not answer others; to be used last.
-  kDraining,   // Takes no new work.
+  kSuspected,  // Its node does not respond to others; used only as a last
+               // resort.
+  kDraining,   // Accepts no new requests.
 };
 
 struct ServerCandidate {
-  base::NodeId node;  // The node beside the server.
+  base::NodeId node;  // The node on the server's VM.
   base::SocketAddress peer_address;
   std::string data_centre;
   std::string region;
   ServerState state = ServerState::kServing;
-  int slots = 1;  // Requests that the server runs at a time.
-  // Requests a second that it is given while it is cold; zero: it is warm.
+  int slots = 1;  // Requests that the server runs concurrently.
+  // Limit in requests per second while the server is cold; zero once it is
+  // warm.
   double cold_rate = 0;
 };
 
--- a/src/libs/routing/server_chooser.cc
+++ b/src/libs/routing/server_chooser.cc
@@ -7,12 +7,12 @@
 namespace chestnutport::routing {
 namespace {
 
-// Servers weighed for a choice: from all, and from the own data centre, as
-// bytes between data centres cost.
+// Servers sampled for a choice: from all, and in addition from the local data
+// centre, because traffic between data centres costs money.
 constexpr int kSampleSize = 3;
 constexpr int kLocalSampleSize = 2;
-// The time of a near server counts so much less while it is no slower than
-// usual and no more than this part of its places is taken.
+// Factor applied to the expected time of a local server while its load and its
+// strain are at most these limits.
 constexpr double kLocalTimeFactor = 0.8;
 constexpr double kMaxLocalLoad = 0.6;
 constexpr double kMaxLocalStrain = 1.5;
@@ -130,8 +130,8 @@
     return nullptr;
   std::uniform_int_distribution<size_t> any(0, from.size() - 1);
   const size_t start = any(random);
-  // One step more than there are excluded finds one if there is any; where
-  // regions are left out, all may have to be looked at.
+  // Without a region filter, one step more than there are excluded servers
+  // suffices. With one, all servers may have to be checked.
   const size_t steps = filter.regions.empty()
                            ? std::min(from.size(), filter.excluded.size() + 1)
                            : from.size();
--- a/src/libs/routing/server_chooser.h
+++ b/src/libs/routing/server_chooser.h
@@ -1,9 +1,9 @@
-// Chooses a server of one service for each attempt. Pure: time and random
-// numbers are passed in, and nothing is sent or read here.
+// Chooses a server of one service for each attempt. Performs no I/O; time and
+// random numbers are passed in.
 //
-// A few servers are drawn, and the one whose answer is expected first is
-// chosen. The cost of a choice does not depend on the number of servers.
-// docs/design/routing.md has the ways weighed and their figures.
+// Samples a few servers at random and chooses the one with the shortest
+// expected time to an answer, so the cost of a choice does not depend on the
+// number of servers. docs/design/routing.md compares the alternatives.
 #ifndef ROUTING_SERVER_CHOOSER_H_
 #define ROUTING_SERVER_CHOOSER_H_
 
@@ -28,40 +28,40 @@
  public:
   explicit ServerChooser(Locality own_locality);
 
-  // Replaces the candidates; what was learned of those that stay is kept.
+  // Replaces the candidates. Keeps the estimates of servers that remain.
   void SetServers(const std::vector<ServerCandidate>& servers,
                   base::Instant now);
 
-  // The server to send to, or null if there is none beside `excluded`. Valid
-  // until the next SetServers().
+  // Returns the server to send to, or null if all are in `excluded`. The
+  // pointer is valid until the next SetServers().
   const ServerCandidate* Choose(std::span<const base::NodeId> excluded,
                                 base::Instant now,
                                 base::Random& random) const {
     return ChooseAdmitted({.excluded = excluded}, now, random);
   }
-  // The same, among the servers that the filter admits.
+  // Like Choose(), among the servers that `filter` admits.
   const ServerCandidate* ChooseAdmitted(const ServerFilter& filter,
                                         base::Instant now,
                                         base::Random& random) const;
 
-  // Each OnSent() is followed by one OnEnded() for the same node. Both are
-  // harmless for a node that is no candidate any more.
+  // Each OnSent() must be followed by one OnEnded() for the same node. Both
+  // ignore nodes that are no longer candidates.
   void OnSent(base::NodeId node, base::Instant now);
   void OnEnded(base::NodeId node,
                const AttemptResult& result,
                base::Instant now);
 
-  // How many times the usual work a good answer costs as a rule just now.
+  // Returns the current usual strain of the service's servers.
   double UsualStrain() const { return service_.usual_strain(); }
   size_t size() const { return servers_.size(); }
-  // Requests sent from here to `node` and not ended.
+  // Returns the number of requests from this node in flight to `node`.
   int InFlight(base::NodeId node) const;
 
  private:
   struct Entry {
     ServerCandidate candidate;
     ServerEstimate estimate;
-    Seconds distance{};  // There and back.
+    Seconds distance{};  // Typical round trip.
   };
   using Indexes = std::vector<uint32_t>;
   struct BestCandidate;
@@ -75,30 +75,33 @@
               base::Instant now,
               base::Random& random,
               BestCandidate& best) const;
-  // From all that serve, or from those of each region that is admitted.
+  // Samples all serving servers, or those of each region the filter admits.
   void SampleServing(const ServerFilter& filter,
                      base::Instant now,
                      base::Random& random,
                      BestCandidate& best) const;
-  // FindAny that is admitted, by walking on from a random one.
+  // Returns the first admitted server after a random position, or null.
   const Entry* FindAny(const Indexes& from,
                        const ServerFilter& filter,
                        base::Random& random) const;
-  // Whether bytes between data centres can be saved at no cost to the request.
+  // Whether the server is in the local data centre, and neither loaded nor
+  // slow, so that preferring it saves traffic between data centres at no cost
+  // to the request.
   bool IsLocalWithCapacity(const Entry& server, base::Instant now) const;
   void Consider(const Entry& server,
                 const ServerFilter& filter,
                 base::Instant now,
                 BestCandidate& best) const;
   void AddToIndexes(uint32_t position);
-  // Requests that the server is given at a time, at its present rate.
+  // Returns the requests the server may run concurrently; fewer while it is
+  // cold.
   int EffectiveSlots(const ServerCandidate& candidate) const;
 
   Locality own_locality_;
   std::vector<Entry> servers_;
   absl::flat_hash_map<base::NodeId, uint32_t> positions_;
   Indexes serving_;
-  Indexes local_;  // Those that serve in the own data centre.
+  Indexes local_;  // Serving servers in the local data centre.
   absl::flat_hash_map<std::string, Indexes> serving_in_;  // By region.
   Indexes suspected_;
   ServiceEstimate service_;
--- a/src/libs/routing/server_estimate.cc
+++ b/src/libs/routing/server_estimate.cc
@@ -6,50 +6,51 @@
 namespace chestnutport::routing {
 namespace {
 
-// A report counts half after so long.
+// Age at which a load report has half its weight.
 constexpr Seconds kReportHalfLife(0.02);
-// The weight of one report against those decayed: a report may be older than it
-// seems, and every node that believes it follows it.
+// Weight of a new report against the previous ones. Small, because a report may
+// be older than it seems, and all nodes that receive it react to it.
 constexpr double kReportWeight = 0.15;
-// What a full server's load adds to an answer decayed anything has to wait: a
-// share of the usual latency, and a time. It keeps loads even, and keeps
-// requests of short work from filling a near server to the brim while others
-// do not know of it.
+// Penalty on the expected time at full load, even before requests queue: a
+// share of the usual latency, plus a fixed time. Keeps loads even, and keeps
+// short requests from filling a nearby server before the other nodes learn of
+// its load.
 constexpr double kLoadPenaltyShare = 0.5;
 constexpr Seconds kLoadPenaltyTime(0.008);
 
-// A reported slowness counts half after so long: spells of a busy neighbour on
-// a VM last some 300 ms, and the report tells nothing of when one began.
+// Half-life of a reported strain. Slow periods caused by a busy neighbour of a
+// VM last about 300 ms, and the report does not tell when one began.
 constexpr Seconds kStrainHalfLife(0.15);
 
-// A new server counts as having this share of its slots, then all of them
-// after the warm-up.
+// A new server starts with this share of its slots and has all of them after
+// the warm-up time.
 constexpr double kInitialSlotShare = 0.5;
 constexpr Seconds kWarmUpTime(0.3);
-// What having to wait at all adds, as a share of the usual latency: how long
-// the requests ahead hold their slots is not previous, least of all if they
-// wait for calls of their own.
+// Penalty if a request has to queue, as a share of the usual latency: it is not
+// known how long the requests ahead hold their slots, least of all if they make
+// calls of their own.
 constexpr double kQueueingPenalty = 0.5;
 
-// A server that refuses is left alone for a moment; for longer if it had room,
-// as it is leaving then.
+// Time for which a server is avoided after a refusal. Longer if it was below
+// its limit, because it is then probably shutting down.
 constexpr std::chrono::milliseconds kAvoidAfterRefusalAtLimit(5);
 constexpr std::chrono::milliseconds kAvoidAfterRefusalBelowLimit(200);
 
-// The weight of one answer in a server's latency, and of a lost attempt.
+// Weights of an answer and of a lost attempt in a server's average latency.
 constexpr double kAnswerWeight = 0.3;
 constexpr double kLossWeight = 0.5;
-// Times the usual latency.
+// Multiples of the usual latency.
 constexpr double kFailurePenaltyFactor = 10;
 constexpr double kMaxSlowness = 20;
-// Slowness below this is the usual spread of the work.
+// Slowness below this is normal variation of the work.
 constexpr double kSlownessThreshold = 1.5;
-// Without further answers, half of a server's slowness is forgotten after so
-// long, so that it is tried again. It doubles with each slow answer in a row:
-// a server that was slow for a moment is back at once, a straggler is not.
+// Half-life of a server's slowness without further answers, so that the server
+// is tried again. It doubles with each consecutive slow answer: a server that
+// was slow for a moment is used again at once, a straggler is not.
 constexpr Seconds kSlownessHalfLife(0.02);
 constexpr int kMaxConsecutiveSlow = 6;
-// Times the usual latency without an answer, with something in flight.
+// Time without a response while requests are in flight, in multiples of the
+// usual latency, from which on a server is penalised.
 constexpr double kSilenceThreshold = 3;
 
 }  // namespace
@@ -87,7 +88,7 @@
       UpdateLatency(std::max(latency, failure), kLossWeight, service, now);
       return;
     case AttemptVerdict::kCancelled:
-      // It took at least so long.
+      // The answer would have taken at least this long.
       if (latency > latency_)
         UpdateLatency(latency, kAnswerWeight, service, now);
       return;
@@ -96,7 +97,8 @@
 
 void ServerEstimate::OnRefused(const AttemptResult& result, base::Instant now) {
   const auto& load = result.load;
-  // A slow server hands work back though it has room: its report says enough.
+  // A slow server returns work although it has capacity; its report already
+  // includes the strain.
   const bool was_below_limit = load && load->in_flight < load->limit &&
                                load->strain.value_or(1) < kSlownessThreshold;
   avoided_until_ = now + (was_below_limit ? kAvoidAfterRefusalBelowLimit
@@ -124,7 +126,7 @@
 double ServerEstimate::Slowness(const ServiceEstimate& service,
                                 base::Instant now) const {
   const double slowness = DecayedSlowness(service, now);
-  // What is left is forgotten at last, or the server would be starved.
+  // A small remainder is ignored, otherwise the server would be starved.
   return slowness < kSlownessThreshold ? 1 : slowness;
 }
 
@@ -202,7 +204,7 @@
 }
 
 double ServerEstimate::UsableSlots(int slots, base::Instant now) const {
-  // A node may lower the limit of its server; a higher one is not believed.
+  // A node may lower the limit of its server, but not raise it.
   const int usable = limit_ > 0 ? std::min(limit_, slots) : slots;
   if (!warm_up_since_)
     return usable;
--- a/src/libs/routing/server_estimate.h
+++ b/src/libs/routing/server_estimate.h
@@ -1,5 +1,5 @@
-// What this node has learned of one server, from the requests that it sent
-// there and the load that came back with the answers.
+// Estimates the state of one server from the requests that this node sent to it
+// and the load reports in the answers.
 #ifndef ROUTING_SERVER_ESTIMATE_H_
 #define ROUTING_SERVER_ESTIMATE_H_
 
@@ -13,7 +13,8 @@
 
 class ServerEstimate {
  public:
-  // The server is new, and may be cold: it gets its share by and by.
+  // Starts the warm-up of a new server, which may be cold: its usable slots
+  // increase gradually.
   void StartWarmUp(base::Instant now) { warm_up_since_ = now; }
 
   void OnSent(base::Instant now);
@@ -22,21 +23,22 @@
                ServiceEstimate& service,
                base::Instant now);
 
-  // Until an answer to one more request would be here, but for the distance.
+  // Returns the expected time to the answer of one more request, without the
+  // network round trip.
   Seconds ExpectedTime(int slots,
                        const ServiceEstimate& service,
                        base::Instant now) const;
 
-  // What the server would have in flight with one more, as a share of what it
-  // is given at most.
+  // Returns the requests the server would have with one more, as a share of its
+  // usable slots.
   double Load(int slots,
               const ServiceEstimate& service,
               base::Instant now) const;
-  // How many times longer than usual an answer takes just now, as far as is
-  // known.
+  // Returns the estimated time of an answer relative to the service's usual
+  // time.
   double Strain(const ServiceEstimate& service, base::Instant now) const;
 
-  // Requests sent from here and not ended.
+  // Returns the number of requests from this node in flight.
   int own_in_flight() const { return own_in_flight_; }
 
  private:
@@ -45,7 +47,7 @@
                      double weight,
                      const ServiceEstimate& service,
                      base::Instant now);
-  // How many times slower than usual the server seems to be; at least 1.
+  // Returns the observed latency relative to the typical one; at least 1.
   double Slowness(const ServiceEstimate& service, base::Instant now) const;
   double DecayedSlowness(const ServiceEstimate& service,
                          base::Instant now) const;
@@ -55,7 +57,7 @@
                 int slots,
                 ServiceEstimate& service,
                 base::Instant now);
-  // As the server's own node said, while that is recent.
+  // Returns the strain that the server's node reported, decayed by its age.
   double ReportedStrain(base::Instant now) const;
   double UsableSlots(int slots, base::Instant now) const;
   double LoadFromOtherNodes(const ServiceEstimate& service,
@@ -63,20 +65,19 @@
 
   std::optional<base::Instant> warm_up_since_;
   int own_in_flight_ = 0;
-  // Nothing was heard from the server since, though something is in flight.
+  // Time of the last response, or of the first send after an idle period.
   base::Instant silent_since_{};
-  Seconds latency_{0};  // Failures count as long ones. Zero: not known.
+  Seconds latency_{0};  // Failures count as long latencies. Zero if unknown.
   base::Instant latency_updated_at_{};
   int consecutive_slow_ = 0;
   base::Instant avoided_until_{};
-  // As of the last report.
+  // From the last load report.
   base::Instant reported_at_{};
   bool has_report_ = false;
-  double load_from_other_nodes_ = 0;  // A share of the slots.
+  double load_from_other_nodes_ = 0;  // As a share of the slots.
   int limit_ = 0;
   double reported_strain_ = 1;
-  base::Instant
-      strain_reported_at_{};  // Of the last report that told the strain.
+  base::Instant strain_reported_at_{};  // Of the last report with a strain.
 };
 
 }  // namespace chestnutport::routing
--- a/src/libs/routing/server_filter.h
+++ b/src/libs/routing/server_filter.h
@@ -1,4 +1,5 @@
-// Which servers a request may go to, and which are preferred.
+// The servers that a request may be sent to, and whether local ones are
+// preferred.
 #ifndef ROUTING_SERVER_FILTER_H_
 #define ROUTING_SERVER_FILTER_H_
 
@@ -13,10 +14,10 @@
 
 struct ServerFilter {
   std::span<const base::NodeId> excluded;
-  std::span<const std::string> regions;  // Empty: any.
-  // Whether near servers are preferred while they have room. Not for a call
-  // that a server makes: those of a long chain would fill their own data centre
-  // and wait for each other.
+  std::span<const std::string> regions;  // If empty, all regions are allowed.
+  // Whether servers in the local data centre are preferred while they have
+  // capacity. Not set for calls made by servers: those of a long chain would
+  // fill their data centre and wait for each other.
   bool prefers_local_data_centre = false;
 
   bool AdmitsRegion(const std::string& region) const {
--- a/src/libs/routing/service_estimate.cc
+++ b/src/libs/routing/service_estimate.cc
@@ -6,7 +6,8 @@
 namespace {
 
 constexpr double kSmoothingWeight = 0.02;
-// One very slow answer must not make slow servers look usual.
+// Limits the effect of a single very slow answer, in multiples of the typical
+// latency, so that slow servers do not appear normal.
 constexpr double kMaxOverTypical = 4;
 
 }  // namespace
--- a/src/libs/routing/service_estimate.h
+++ b/src/libs/routing/service_estimate.h
@@ -1,5 +1,5 @@
-// What this node has learned of a service as a whole: the measure that each of
-// its servers is held against.
+// Estimates of a service as a whole, with which each of its servers is
+// compared.
 #ifndef ROUTING_SERVICE_ESTIMATE_H_
 #define ROUTING_SERVICE_ESTIMATE_H_
 
@@ -8,31 +8,32 @@
 
 namespace chestnutport::routing {
 
-// Seconds, as the scores are sums and products of times.
+// Floating-point seconds, because scores are sums and products of times.
 using Seconds = std::chrono::duration<double>;
 
 class ServiceEstimate {
  public:
-  // Of an attempt that was answered well.
+  // Records the latency of a successful attempt.
   void OnAnswer(Seconds latency);
-  // Of a load report: what a server has from other nodes, as a share of its
-  // slots.
+  // Records, from a load report, the load that other nodes put on a server, as
+  // a share of its slots.
   void OnLoadFromOtherNodes(double share);
 
-  // Of a load report: how many times the usual work a good answer costs.
+  // Records the strain from a load report.
   void OnStrain(double strain) { strain_.OnReport(strain); }
 
-  // What an answer usually takes.
+  // Moving average of the latency of successful attempts.
   Seconds typical_latency() const { return typical_latency_; }
-  // The usual load that other nodes put on a server, as a share of its slots.
+  // Moving average of the load that other nodes put on a server, as a share of
+  // its slots.
   double typical_load_from_other_nodes() const {
     return typical_load_from_other_nodes_;
   }
-  // How many times the usual work a good answer costs as a rule just now.
+  // The current usual strain of the servers; see RecentStrain.
   double usual_strain() const { return strain_.usual(); }
 
  private:
-  Seconds typical_latency_{0.01};  // A guess until answers come.
+  Seconds typical_latency_{0.01};  // Initial value before any answer.
   double typical_load_from_other_nodes_ = 0;
   RecentStrain strain_;
 };
--- a/tests/auto/routing/decisions_rows_test.cc
+++ b/tests/auto/routing/decisions_rows_test.cc
@@ -1,5 +1,5 @@
-// Seeded rows of the benchmark of decisions: they repeat to the digit, so their
-// bounds do too.
+// Checks rows of the decisions benchmark. With a fixed seed they are
+// reproducible, so their bounds are exact.
 #include <catch2/catch.hpp>
 
 #include "decisions/baselines.h"
@@ -22,11 +22,11 @@
     {"steady", ConditionKind::kSteady, 1.1, 0.999},
     {"one straggler", ConditionKind::kStraggler, 1.2, 0.999},
     {"one server fails at once", ConditionKind::kFastFailing, 1.2, 0.998},
-    {"one report lies", ConditionKind::kLyingReport, 1.2, 0.999},
+    {"one report lies", ConditionKind::kFalseReport, 1.2, 0.999},
     {"a data centre is lost", ConditionKind::kDataCentreLoss, 1.2, 0.998},
 };
 
-TEST_CASE("The shipped chooser comes close to an omniscient one") {
+TEST_CASE("The shipped chooser is nearly as good as an omniscient one") {
   for (const Row& row : kRows) {
     const Condition condition{row.name, row.kind};
     DYNAMIC_SECTION(row.name) {
@@ -42,9 +42,9 @@
   }
 }
 
-// Each call holds a slot until those below it have answered, so that servers
-// which are preferred too much fill up and wait for themselves.
-TEST_CASE("A chain of calls does not block itself") {
+// Each call holds a slot until its nested calls have answered, so servers that
+// are preferred too strongly fill up with calls that wait for each other.
+TEST_CASE("A chain of calls does not deadlock on its own slots") {
   constexpr uint64_t kSeeds = 9;
   const Condition chain{"chain-24", ConditionKind::kChain};
   double ratios = 0;
@@ -61,7 +61,7 @@
   CHECK(ratios / kSeeds <= 2.3);
 }
 
-TEST_CASE("The rows can tell a bad chooser") {
+TEST_CASE("A random chooser fails the bounds") {
   const Condition straggler{"straggler", ConditionKind::kStraggler};
   const auto random =
       Simulation<RandomPolicy>(Consorcio(), straggler, kSeed).Run();
@@ -70,7 +70,7 @@
   CHECK(random.Quantile(0.99) > 1.2 * omniscient.Quantile(0.99));
 }
 
-TEST_CASE("A row repeats to the digit") {
+TEST_CASE("A row is reproducible") {
   const Condition steady{"steady", ConditionKind::kSteady};
   const auto first =
       Simulation<ShippedPolicy>(Consorcio(), steady, kSeed).Run();
--- a/tests/auto/routing/server_chooser_test.cc
+++ b/tests/auto/routing/server_chooser_test.cc
@@ -30,10 +30,10 @@
   return {data_centre, "sul", NodeId{1000}};
 }
 
-// A chooser, its clock, and how often each server was chosen.
-struct Story {
-  explicit Story(int servers) : Story(Servers(servers)) {}
-  explicit Story(std::vector<ServerCandidate> servers)
+// A chooser with its clock, and a count of how often each server was chosen.
+struct ChooserFixture {
+  explicit ChooserFixture(int servers) : ChooserFixture(Servers(servers)) {}
+  explicit ChooserFixture(std::vector<ServerCandidate> servers)
       : candidates(std::move(servers)) {
     chooser.SetServers(candidates, now);
   }
@@ -43,7 +43,7 @@
     return server ? server->node : NodeId{};
   }
 
-  // One call after another, each answered as `result_of` says.
+  // Makes calls one after another; `result_of` gives the result of each.
   template <typename ResultOf>
   void Serve(int calls, ResultOf result_of) {
     chosen.clear();
@@ -64,233 +64,234 @@
   std::map<NodeId, int> chosen;
 };
 
-constexpr NodeId kOdd{3};  // The server that a story is about.
+constexpr NodeId kOutlier{3};  // The server that behaves differently.
 
 AttemptResult Answered(base::Duration latency = kUsual) {
   return {AttemptVerdict::kAnswered, latency, {}};
 }
 
-TEST_CASE("Servers that are no good get little work") {
-  Story story(6);
-  story.Serve(200, [](NodeId) { return Answered(); });
-  CHECK(story.chosen[kOdd] > 10);
+TEST_CASE("Slow or failing servers get little work") {
+  ChooserFixture fixture(6);
+  fixture.Serve(200, [](NodeId) { return Answered(); });
+  CHECK(fixture.chosen[kOutlier] > 10);
 
   SECTION("a straggler") {
     const auto slow = [](NodeId node) {
-      return Answered(node == kOdd ? kUsual * 5 : kUsual);
+      return Answered(node == kOutlier ? kUsual * 5 : kUsual);
     };
-    story.Serve(600, slow);
-    CHECK(story.chosen[kOdd] < 600 / 6 / 4);
-    SECTION("and it gets its share again once it is well") {
-      story.now += std::chrono::seconds(10);
-      story.Serve(600, [](NodeId) { return Answered(); });
-      CHECK(story.chosen[kOdd] > 600 / 6 / 2);
+    fixture.Serve(600, slow);
+    CHECK(fixture.chosen[kOutlier] < 600 / 6 / 4);
+    SECTION("and it gets its share again once it has recovered") {
+      fixture.now += std::chrono::seconds(10);
+      fixture.Serve(600, [](NodeId) { return Answered(); });
+      CHECK(fixture.chosen[kOutlier] > 600 / 6 / 2);
     }
   }
   SECTION("one that fails at once") {
-    story.Serve(600, [](NodeId node) {
-      return node == kOdd
+    fixture.Serve(600, [](NodeId node) {
+      return node == kOutlier
                  ? AttemptResult{AttemptVerdict::kFailed, milliseconds(1), {}}
                  : Answered();
     });
-    CHECK(story.chosen[kOdd] < 600 / 6 / 4);
+    CHECK(fixture.chosen[kOutlier] < 600 / 6 / 4);
   }
-  SECTION("one that is slow and reports to be idle") {
-    story.Serve(600, [](NodeId node) {
-      AttemptResult result = Answered(node == kOdd ? kUsual * 3 : kUsual);
-      result.load = wire::LoadReport{node == kOdd ? 0 : 6, 12, 0, {}};
+  SECTION("one that is slow but reports to be idle") {
+    fixture.Serve(600, [](NodeId node) {
+      AttemptResult result = Answered(node == kOutlier ? kUsual * 3 : kUsual);
+      result.load = wire::LoadReport{node == kOutlier ? 0 : 6, 12, 0, {}};
       return result;
     });
-    CHECK(story.chosen[kOdd] < 600 / 6);
+    CHECK(fixture.chosen[kOutlier] < 600 / 6);
   }
-  SECTION("one that refuses though it has room") {
-    story.Serve(300, [](NodeId node) {
+  SECTION("one that refuses although it is below its limit") {
+    fixture.Serve(300, [](NodeId node) {
       AttemptResult result = Answered();
-      if (node == kOdd) {
+      if (node == kOutlier) {
         result = {AttemptVerdict::kRefused, milliseconds(1),
                   wire::LoadReport{2, 12, 0, {}}};
       }
       return result;
     });
-    CHECK(story.chosen[kOdd] < 300 / 6 / 2);
+    CHECK(fixture.chosen[kOutlier] < 300 / 6 / 2);
   }
-  SECTION("one that is silent") {
-    story.chooser.OnSent(kOdd, story.now);
-    story.now += kUsual * 10;
-    story.Serve(100, [](NodeId) { return Answered(); });
-    CHECK(story.chosen[kOdd] < 100 / 6 / 2);
+  SECTION("one that does not respond") {
+    fixture.chooser.OnSent(kOutlier, fixture.now);
+    fixture.now += kUsual * 10;
+    fixture.Serve(100, [](NodeId) { return Answered(); });
+    CHECK(fixture.chosen[kOutlier] < 100 / 6 / 2);
   }
-  SECTION("one with much in flight from here") {
+  SECTION("one with many requests of this node in flight") {
     for (int i = 0; i < 12; ++i)
-      story.chooser.OnSent(kOdd, story.now);
-    story.chosen.clear();
+      fixture.chooser.OnSent(kOutlier, fixture.now);
+    fixture.chosen.clear();
     for (int i = 0; i < 50; ++i)
-      ++story.chosen[story.Choose()];
-    CHECK(story.chosen[kOdd] == 0);
+      ++fixture.chosen[fixture.Choose()];
+    CHECK(fixture.chosen[kOutlier] == 0);
   }
 }
 
-TEST_CASE("If every server fails, work is still sent") {
-  Story story(4);
-  story.Serve(200, [](NodeId) {
+TEST_CASE("If every server fails, requests are still sent") {
+  ChooserFixture fixture(4);
+  fixture.Serve(200, [](NodeId) {
     return AttemptResult{AttemptVerdict::kFailed, milliseconds(1), {}};
   });
-  CHECK(story.chosen.size() == 4);
-  CHECK(story.Choose() != NodeId{});
+  CHECK(fixture.chosen.size() == 4);
+  CHECK(fixture.Choose() != NodeId{});
 }
 
-TEST_CASE("A request that may run in some regions only") {
+TEST_CASE("A request that is restricted to some regions") {
   auto servers = Servers(6);
   servers[0].region = "norte";
   servers[1].region = "norte";
   servers[2].region = "leste";
-  Story story(servers);
+  ChooserFixture fixture(servers);
   const std::vector<std::string> norte = {"norte"};
   const auto choose = [&](std::span<const NodeId> excluded,
                           std::span<const std::string> regions) {
-    const auto* server = story.chooser.ChooseAdmitted({excluded, regions},
-                                                      story.now, story.random);
+    const auto* server = fixture.chooser.ChooseAdmitted(
+        {excluded, regions}, fixture.now, fixture.random);
     return server ? server->node : NodeId{};
   };
 
-  SECTION("goes to no server elsewhere, though the own region has room") {
+  SECTION("goes to no other region, even if the local region has capacity") {
     for (int i = 0; i < 100; ++i) {
       const NodeId node = choose({}, norte);
       CHECK((node == servers[0].node || node == servers[1].node));
-      story.chooser.OnSent(node, story.now);
+      fixture.chooser.OnSent(node, fixture.now);
     }
   }
-  SECTION("nor when it moves") {
+  SECTION("goes to no other region when it is moved") {
     const NodeId one[] = {servers[0].node};
     CHECK(choose(one, norte) == servers[1].node);
     const NodeId both[] = {servers[0].node, servers[1].node};
     CHECK(choose(both, norte) == NodeId{});
   }
-  SECTION("nor if only a suspected server is left there") {
+  SECTION("goes to a suspected server if no other is left in its region") {
     servers[0].state = ServerState::kSuspected;
     servers[1].state = ServerState::kDraining;
-    story.chooser.SetServers(servers, story.now);
+    fixture.chooser.SetServers(servers, fixture.now);
     CHECK(choose({}, norte) == servers[0].node);
   }
   SECTION("goes to any of several regions") {
     const std::vector<std::string> two = {"norte", "leste"};
-    story.chosen.clear();
+    fixture.chosen.clear();
     for (int i = 0; i < 30; ++i) {
       const NodeId node = choose({}, two);
-      ++story.chosen[node];
-      story.chooser.OnSent(node, story.now);
+      ++fixture.chosen[node];
+      fixture.chooser.OnSent(node, fixture.now);
     }
-    CHECK(story.chosen.size() == 3);
+    CHECK(fixture.chosen.size() == 3);
   }
-  SECTION("has no server where none is") {
+  SECTION("has no server in a region without servers") {
     const std::vector<std::string> nowhere = {"sul-2"};
     CHECK(choose({}, nowhere) == NodeId{});
   }
 }
 
-TEST_CASE("Bytes between data centres are saved while near servers have room") {
+TEST_CASE("Local servers are preferred while they have capacity") {
   auto servers = Servers(8);
   for (int i = 4; i < 8; ++i)
     servers[i].data_centre = "poa-b";
-  // Of `calls` that all stay in flight, those that near servers get.
-  const auto near_share = [&](bool prefers_local_data_centre, int calls) {
-    Story story(servers);
-    int near = 0;
+  // Returns the share of `calls`, all in flight, that local servers get.
+  const auto local_share = [&](bool prefers_local_data_centre, int calls) {
+    ChooserFixture fixture(servers);
+    int local = 0;
     for (int i = 0; i < calls; ++i) {
-      const auto* server = story.chooser.ChooseAdmitted(
-          {.prefers_local_data_centre = prefers_local_data_centre}, story.now,
-          story.random);
-      near += server->data_centre == "poa-a" ? 1 : 0;
-      story.chooser.OnSent(server->node, story.now);
+      const auto* server = fixture.chooser.ChooseAdmitted(
+          {.prefers_local_data_centre = prefers_local_data_centre}, fixture.now,
+          fixture.random);
+      local += server->data_centre == "poa-a" ? 1 : 0;
+      fixture.chooser.OnSent(server->node, fixture.now);
     }
-    return static_cast<double>(near) / calls;
+    return static_cast<double>(local) / calls;
   };
 
-  SECTION("by a caller's request") {
-    const double preferred = near_share(true, 24);
-    const double usual = near_share(false, 24);
+  SECTION("if the filter prefers them") {
+    const double preferred = local_share(true, 24);
+    const double usual = local_share(false, 24);
     CHECK(preferred > usual);
   }
-  SECTION("but not once they are fuller than the others") {
-    CHECK(near_share(true, 90) < 0.6);
+  SECTION("but not once they are more loaded than the others") {
+    CHECK(local_share(true, 90) < 0.6);
   }
 }
 
-TEST_CASE("A cold server gets its part") {
+TEST_CASE("A cold server gets no more requests than its limit") {
   auto servers = Servers(4);
   // Half of what a warm one serves at the usual latency, and less.
   servers[0].cold_rate = 24;
-  Story story(servers);
-  story.Serve(100, [](NodeId) { return Answered(); });
+  ChooserFixture fixture(servers);
+  fixture.Serve(100, [](NodeId) { return Answered(); });
   std::vector<NodeId> busy;
   for (int i = 0; i < 24; ++i) {
-    busy.push_back(story.Choose());
-    story.chooser.OnSent(busy.back(), story.now);
+    busy.push_back(fixture.Choose());
+    fixture.chooser.OnSent(busy.back(), fixture.now);
   }
   CHECK(std::ranges::count(busy, servers[0].node) <= 2);
 }
 
-TEST_CASE("States that membership tells") {
+TEST_CASE("Server states from the membership") {
   auto servers = Servers(3);
-  SECTION("a suspected server is used last") {
+  SECTION("a suspected server is used only as a last resort") {
     servers[0].state = ServerState::kSuspected;
-    Story story(servers);
+    ChooserFixture fixture(servers);
     const NodeId others[] = {servers[1].node, servers[2].node};
-    CHECK(story.Choose(others) == servers[0].node);
-    story.Serve(50, [](NodeId) { return Answered(); });
-    CHECK(story.chosen[servers[0].node] == 0);
+    CHECK(fixture.Choose(others) == servers[0].node);
+    fixture.Serve(50, [](NodeId) { return Answered(); });
+    CHECK(fixture.chosen[servers[0].node] == 0);
   }
   SECTION("a draining one is never used") {
     for (auto& server : servers)
       server.state = ServerState::kDraining;
-    Story story(servers);
-    CHECK(story.Choose() == NodeId{});
+    ChooserFixture fixture(servers);
+    CHECK(fixture.Choose() == NodeId{});
   }
-  SECTION("a new one starts gently") {
-    Story story(servers);
-    story.Serve(100, [](NodeId) { return Answered(); });
+  SECTION("a new one starts with a reduced share") {
+    ChooserFixture fixture(servers);
+    fixture.Serve(100, [](NodeId) { return Answered(); });
     auto more = Servers(4);
-    story.chooser.SetServers(more, story.now);
+    fixture.chooser.SetServers(more, fixture.now);
     for (int i = 0; i < 4; ++i)
-      story.chooser.OnSent(more[i].node, story.now);
-    story.chosen.clear();
+      fixture.chooser.OnSent(more[i].node, fixture.now);
+    fixture.chosen.clear();
     for (int i = 0; i < 100; ++i)
-      ++story.chosen[story.Choose()];
-    CHECK(story.chosen[more[3].node] < 100 / 4);
+      ++fixture.chosen[fixture.Choose()];
+    CHECK(fixture.chosen[more[3].node] < 100 / 4);
   }
 }
 
-TEST_CASE("A near server is preferred as far as its load allows") {
+TEST_CASE("A server in the local data centre is preferred until it is loaded") {
   auto servers = Servers(3);
   servers[1].data_centre = servers[2].data_centre = "poa-b";
-  Story story(servers);
-  CHECK(story.Choose() == servers[0].node);
+  ChooserFixture fixture(servers);
+  CHECK(fixture.Choose() == servers[0].node);
   for (int i = 0; i < 12; ++i)
-    story.chooser.OnSent(servers[0].node, story.now);
-  CHECK(story.Choose() != servers[0].node);
+    fixture.chooser.OnSent(servers[0].node, fixture.now);
+  CHECK(fixture.Choose() != servers[0].node);
 }
 
-// The properties hold for the chooser, and fail for the broken ones below.
+// The properties hold for ServerChooser, and fail for the defective variants
+// below.
 template <typename Chooser>
-bool NeverChoosesBarredServers(int count, int excluded, int draining) {
+bool NeverChoosesUnavailableServers(int count, int excluded, int draining) {
   auto servers = Servers(count);
-  std::vector<NodeId> barred;
+  std::vector<NodeId> excluded_nodes;
   for (int i = 0; i < count; ++i) {
     if (i < draining)
       servers[i].state = ServerState::kDraining;
     else if (i < draining + excluded)
-      barred.push_back(servers[i].node);
+      excluded_nodes.push_back(servers[i].node);
   }
   Chooser chooser(LocalityIn("poa-a"));
   base::Random random(count);
   chooser.SetServers(servers, Instant{});
   const bool is_any_left = draining + excluded < count;
   for (int i = 0; i < 50; ++i) {
-    const auto* server = chooser.Choose(barred, Instant{}, random);
+    const auto* server = chooser.Choose(excluded_nodes, Instant{}, random);
     if ((server != nullptr) != is_any_left)
       return false;
     if (server && (server->state == ServerState::kDraining ||
-                   std::ranges::count(barred, server->node) > 0)) {
+                   std::ranges::count(excluded_nodes, server->node) > 0)) {
       return false;
     }
   }
@@ -299,7 +300,7 @@
 
 // Each of `count` healthy servers is chosen within 100 choices a server.
 template <typename Chooser>
-bool StarvesNone(int count, uint64_t seed) {
+bool StarvesNoServer(int count, uint64_t seed) {
   Chooser chooser(LocalityIn("poa-a"));
   base::Random random(seed);
   chooser.SetServers(Servers(count), Instant{});
@@ -338,30 +339,30 @@
 TEST_CASE("Properties of the choice") {
   rc::prop("never an excluded or draining server, and one if any is left", [] {
     const int count = *rc::gen::inRange(1, 40);
-    RC_ASSERT(NeverChoosesBarredServers<ServerChooser>(
+    RC_ASSERT(NeverChoosesUnavailableServers<ServerChooser>(
         count, *rc::gen::inRange(0, count + 1),
         *rc::gen::inRange(0, count + 1)));
   });
   rc::prop("no healthy server is starved", [] {
-    RC_ASSERT(StarvesNone<ServerChooser>(*rc::gen::inRange(1, 20),
-                                         *rc::gen::arbitrary<uint64_t>()));
+    RC_ASSERT(StarvesNoServer<ServerChooser>(*rc::gen::inRange(1, 20),
+                                             *rc::gen::arbitrary<uint64_t>()));
   });
-  rc::prop("what is in flight never falls below zero", [] {
+  rc::prop("the number of requests in flight never falls below zero", [] {
     ServerChooser chooser(LocalityIn("poa-a"));
     chooser.SetServers(Servers(3), Instant{});
     int sent = 0;
     for (const bool is_sent : *rc::gen::arbitrary<std::vector<bool>>()) {
       sent = std::max(0, sent + (is_sent ? 1 : -1));
       if (is_sent)
-        chooser.OnSent(kOdd, Instant{});
+        chooser.OnSent(kOutlier, Instant{});
       else
-        chooser.OnEnded(kOdd, Answered(), Instant{});
-      RC_ASSERT(chooser.InFlight(kOdd) == sent);
+        chooser.OnEnded(kOutlier, Answered(), Instant{});
+      RC_ASSERT(chooser.InFlight(kOutlier) == sent);
     }
   });
-  SECTION("broken variants fail") {
-    CHECK_FALSE(NeverChoosesBarredServers<IgnoresExclusions>(3, 2, 0));
-    CHECK_FALSE(StarvesNone<AlwaysTheSame>(9, 1));
+  SECTION("defective variants fail") {
+    CHECK_FALSE(NeverChoosesUnavailableServers<IgnoresExclusions>(3, 2, 0));
+    CHECK_FALSE(StarvesNoServer<AlwaysTheSame>(9, 1));
   }
 }
 
