--- a/src/libs/ingress/active_call.h
+++ b/src/libs/ingress/active_call.h
@@ -25,25 +25,27 @@
   base::AttemptId id;
   routing::ServerCandidate server;
   base::Instant sent_at;
-  bool is_suspect = false;               // What was sent then was one.
-  net::HttpAnswer answer;                // The server's, once it came.
-  std::optional<calls::AttemptEnd> end;  // Once it ended.
-  base::Instant ended_at;                // Of no meaning before that.
+  bool is_suspect = false;  // Whether the request was suspected when sent.
+  net::HttpAnswer answer;   // The server's answer, if any.
+  std::optional<calls::AttemptEnd> end;  // Set once the attempt ended.
+  base::Instant ended_at;                // Valid only if `end` is set.
 };
 
 struct ActiveCall {
   CallId id = 0;
   ServiceTraffic* service = nullptr;
-  calls::Call state_machine;
+  calls::Call call_state;
   base::Instant arrived_at;
-  bool is_nested = false;  // Made by this node's server for one that it runs.
+  // Made by the local server for a request that it is running.
+  bool is_nested = false;
   int hedges = 0;
   CallerRequest request;
   net::Reply reply;
-  std::vector<SentAttempt> attempts;  // By their numbers.
+  std::vector<SentAttempt> attempts;  // Indexed by attempt number.
   std::vector<base::NodeId> tried_nodes;
-  std::vector<base::NodeId> returned_by;  // Of them: unrun, and may be asked
-                                          // again when there is no other.
+  // Those of `tried_nodes` that returned the call unrun. May be tried again if
+  // there is no other.
+  std::vector<base::NodeId> returned_by;
   net::EventLoop::TimerId timer = 0;
   base::Instant timer_at;
 };
--- a/src/libs/ingress/attempt_canceller.cc
+++ b/src/libs/ingress/attempt_canceller.cc
@@ -3,9 +3,9 @@
 namespace chestnutport::ingress {
 namespace {
 
-// Another node answers within a round trip of some milliseconds. All questions
-// together end within half a second, the time in which work for a caller that
-// left is to stop.
+// Another node replies within a round trip of a few milliseconds. All requests
+// together take less than half a second, the time within which work for a
+// caller that disconnected has to stop.
 constexpr std::chrono::milliseconds kTimeout(150);
 constexpr int kMaxRequests = 3;
 
@@ -19,13 +19,13 @@
                               const base::AttemptId& attempt,
                               AttemptCommand command) {
   sender_.Abandon(attempt);
-  Ask(server, attempt, command, 0);
+  SendWithRetries(server, attempt, command, 0);
 }
 
-void AttemptCanceller::Ask(const routing::ServerCandidate& server,
-                           const base::AttemptId& attempt,
-                           AttemptCommand command,
-                           int sent_count) {
+void AttemptCanceller::SendWithRetries(const routing::ServerCandidate& server,
+                                       const base::AttemptId& attempt,
+                                       AttemptCommand command,
+                                       int sent_count) {
   control_client_.SendCommand(server, attempt, command, kTimeout,
                               [this, server, attempt, command,
                                sent_count](calls::AttemptStatus answer) {
@@ -33,7 +33,8 @@
                                   return;
                                 sender_.Drop(attempt);
                                 if (sent_count + 1 < kMaxRequests)
-                                  Ask(server, attempt, command, sent_count + 1);
+                                  SendWithRetries(server, attempt, command,
+                                                  sent_count + 1);
                               });
 }
 
--- a/src/libs/ingress/attempt_canceller.h
+++ b/src/libs/ingress/attempt_canceller.h
@@ -1,4 +1,4 @@
-// Cancels attempts for whose answer nobody waits any more.
+// Cancels attempts whose answers are no longer needed.
 #ifndef INGRESS_ATTEMPT_CANCELLER_H_
 #define INGRESS_ATTEMPT_CANCELLER_H_
 
@@ -14,18 +14,18 @@
   // Both must outlive the canceller.
   AttemptCanceller(AttemptSender& sender, AttemptControlClient& control_client);
 
-  // `question` is kCancel or kStop. Asks again until the server's node answers,
-  // a few times at most. An attempt whose node does not answer at once loses
-  // its connection, which tells the node the same.
+  // `command`: kCancel or kStop. Retries a few times until the server's node
+  // replies. After a time-out the attempt's connection is closed as well, which
+  // the node treats as a cancellation.
   void Cancel(const routing::ServerCandidate& server,
               const base::AttemptId& attempt,
               AttemptCommand command);
 
  private:
-  void Ask(const routing::ServerCandidate& server,
-           const base::AttemptId& attempt,
-           AttemptCommand command,
-           int sent_count);
+  void SendWithRetries(const routing::ServerCandidate& server,
+                       const base::AttemptId& attempt,
+                       AttemptCommand command,
+                       int sent_count);
 
   AttemptSender& sender_;
   AttemptControlClient& control_client_;
--- a/src/libs/ingress/attempt_control_client.cc
+++ b/src/libs/ingress/attempt_control_client.cc
@@ -17,7 +17,7 @@
   AttemptStatus answer;
 };
 
-// The names used between nodes.
+// Names in messages between nodes.
 constexpr State kStates[] = {{"never-runs", AttemptStatus::kNeverRuns},
                              {"queued", AttemptStatus::kQueued},
                              {"running", AttemptStatus::kRunning},
--- a/src/libs/ingress/attempt_control_client.h
+++ b/src/libs/ingress/attempt_control_client.h
@@ -1,5 +1,5 @@
-// Asks another node's gate what became of an attempt, and may bar it from
-// starting.
+// Queries the status of an attempt at another node's gate, and cancels or stops
+// it (method attempt.settle between nodes).
 #ifndef INGRESS_ATTEMPT_CONTROL_CLIENT_H_
 #define INGRESS_ATTEMPT_CONTROL_CLIENT_H_
 
@@ -14,17 +14,17 @@
 namespace chestnutport::ingress {
 
 enum class AttemptCommand {
-  kQueryStatus,  // Changes nothing.
-  kCancel,       // An attempt that has not started never will.
-  kStop,         // The same, and one that runs is cut off.
+  kQueryStatus,  // Only reports the status.
+  kCancel,       // Prevents an attempt that has not started from starting.
+  kStop,         // Like kCancel, and interrupts a running attempt.
 };
 
 class AttemptControlClient {
  public:
   using Handler = std::function<void(calls::AttemptStatus)>;
 
-  // A client of its own, so that a question never waits behind, nor travels
-  // on, a connection that went silent.
+  // Uses an HTTP client of its own with a new connection for each command, so
+  // that commands never wait behind or use an unresponsive connection.
   AttemptControlClient(net::EventLoop& loop, control_calls::PeerKeys keys);
 
   void SendCommand(const routing::ServerCandidate& server,
--- a/src/libs/ingress/attempt_sender.cc
+++ b/src/libs/ingress/attempt_sender.cc
@@ -14,18 +14,19 @@
 using calls::AttemptVerdict;
 
 constexpr int kServerError = 500;
-// The call itself watches its deadline; a transfer must not end before it.
+// The call enforces its deadline itself; a transfer must not time out before
+// it.
 constexpr std::chrono::milliseconds kTransferSlack(500);
 
-// Another node answers the opening of a connection within a round trip, and
-// nothing was sent before: another one is tried instead.
+// Connecting to another node takes one round trip. After a time-out nothing was
+// sent yet, so another node can be tried.
 constexpr std::chrono::milliseconds kConnectTimeout(150);
 
-// Bodies from this size on, in bytes, are sent only to a gate that has a place.
-// A round trip between nodes costs a millisecond; 8 kB take 5 ms of a link of
-// 12 Mbit/s, and a request is handed back several times when servers are full.
+// Minimum body size in bytes for a capacity inquiry before the body is sent. A
+// round trip between nodes takes about 1 ms, while 8 kB take 5 ms on a link of
+// 12 Mbit/s, and a request is returned several times when servers are full.
 constexpr size_t kMinInquiryBytes = 8 * 1024;
-// A gate that has to ask its server first answers within some 20 ms.
+// A gate that first has to probe its server replies within about 20 ms.
 constexpr std::chrono::milliseconds kInquiryTimeout(150);
 
 net::HttpClientOptions PeerClientOptions() {
@@ -34,8 +35,8 @@
   return options;
 }
 
-// Said by the owner of the key, who alone knows, or of what no other server
-// may be handed.
+// Errors after which no other server may be tried: those about an idempotency
+// key, for which only its owner is authoritative, and a stopped request.
 bool IsFinal(ErrorKind error) {
   return error == ErrorKind::kRequestStopped || error == ErrorKind::kKeyInUse ||
          error == ErrorKind::kKeyUncertain ||
@@ -148,7 +149,7 @@
   const bool is_whole = result.end == net::TransferEnd::kComplete;
   const bool has_place =
       is_whole && result.answer.status == traffic::kPlaceFree;
-  // Nothing of the request was sent, whatever became of the question.
+  // The request itself was not sent, whatever the result of the inquiry.
   if (!is_whole)
     result.end = net::TransferEnd::kNotSent;
   if (!has_place || !sent.handler) {
@@ -163,7 +164,8 @@
     pending.head.target_in =
         std::max<base::Duration>(*pending.head.target_in - waited, {});
   }
-  // The way of the body is paid for: it is not handed back any more.
+  // The gate may no longer return the request, as its body has been
+  // transferred.
   pending.head.may_move = false;
   pending.head.may_move_if_full = false;
   Transmit(sent, std::move(pending));
@@ -192,7 +194,7 @@
   const calls::AttemptEnd end =
       ReadEnd({.end = net::TransferEnd::kComplete, .answer = head},
               wire::PeerAnswerHead::Read(head.headers));
-  // Another server may still do better than a failure.
+  // A failure is not relayed yet: a retry at another server may succeed.
   if (end.verdict != AttemptVerdict::kAnswered)
     return false;
   found->second.is_streamed = true;
@@ -256,7 +258,8 @@
                             end.verdict != AttemptVerdict::kAnswered;
   auto verdict = is_cancelled ? routing::AttemptVerdict::kCancelled
                               : ToRouting(end.verdict);
-  // Failed by another service, which any server of this one would be.
+  // The request failed because of a nested call to another service, as it would
+  // at any server of this service.
   const bool has_failed_call =
       !net::FindHeader(result.answer.headers, wire::kCallFailedHeader).empty();
   if (verdict == routing::AttemptVerdict::kFailed && has_failed_call)
--- a/src/libs/ingress/attempt_sender.h
+++ b/src/libs/ingress/attempt_sender.h
@@ -1,5 +1,5 @@
-// Hands attempts to other nodes' gates, and reports their ends. What is seen
-// on the way is told to the service's chooser and timing.
+// Sends attempts to the gates of other nodes, and reports how they end. Feeds
+// latencies and load reports to the service's chooser and timeouts.
 #ifndef INGRESS_ATTEMPT_SENDER_H_
 #define INGRESS_ATTEMPT_SENDER_H_
 
@@ -24,35 +24,37 @@
 
 class AttemptSender {
  public:
-  // The answer is the server's, if the verdict says that there is one; of a
-  // large one it is the head, and Relay() hands on the rest.
+  // `answer`: the server's, if the verdict is kAnswered or kFailed. If the
+  // answer is streamed, it has the head only, and Relay() forwards the body.
   using Handler =
       std::function<void(const calls::AttemptEnd& end, net::HttpAnswer answer)>;
 
   // `loop` must outlive the sender.
   AttemptSender(net::EventLoop& loop, control_calls::PeerKeys keys);
 
-  // `handler` is called once, never from inside, unless the attempt is dropped
-  // or abandoned first. `service` must outlive the attempt.
+  // Calls `handler` once, never from within Send(), unless the attempt is
+  // dropped or abandoned first. `service` must outlive the attempt.
   void Send(ServiceTraffic& service,
             const routing::ServerCandidate& server,
             const wire::PeerRequestHead& head,
             net::HttpRequest request,
             Handler handler);
 
-  // Gives `reply` the answer that the handler was called with, as `answer`. Of
-  // a large one this must happen inside the handler: else it is given up.
+  // Sends `answer`, with which the handler was called, to `reply`. For a
+  // streamed answer this must be called from within the handler, otherwise the
+  // stream is cancelled.
   void Relay(const base::AttemptId& attempt,
              net::HttpAnswer answer,
              net::Reply reply);
 
-  // Closes the attempt's connection, which has gone silent.
+  // Closes the connection of an attempt that does not respond.
   void Drop(const base::AttemptId& attempt);
-  // Lets the attempt end unheard, so that its connection can be used again.
+  // Discards the attempt's result when it ends, so that its connection can be
+  // reused.
   void Abandon(const base::AttemptId& attempt);
 
  private:
-  // A request whose body is sent once its gate has a place for it.
+  // A request whose body is sent once its gate has reported capacity for it.
   struct PendingRequest {
     wire::PeerRequestHead head;
     base::SocketAddress to;
@@ -64,21 +66,21 @@
     base::Instant sent_at;
     net::HttpClient::TransferId transfer = 0;
     std::string method;
-    std::unique_ptr<PendingRequest> pending;  // Until the place is found free.
+    std::unique_ptr<PendingRequest> pending;  // Set during a capacity inquiry.
     Handler handler;                          // Empty once abandoned.
     bool is_streamed = false;
     std::unique_ptr<traffic::AnswerRelay>
-        relay;  // Of an answer that is streamed.
+        relay;  // Set while an answer is streamed.
   };
 
   void Transmit(InFlight& sent, PendingRequest pending);
-  // Asks the gate, with the head alone, whether it has a place.
+  // Sends only the head, to find out whether the gate has capacity.
   void InquireCapacity(InFlight& sent);
   void OnCapacityReply(const base::AttemptId& attempt,
                        net::TransferResult result);
   bool StartRelay(const base::AttemptId& attempt, const net::HttpAnswer& head);
   bool RelayPart(const base::AttemptId& attempt, std::string_view part);
-  // Ends a streamed answer that nobody takes.
+  // Cancels a streamed answer that is not relayed.
   void CancelStream(const base::AttemptId& attempt);
 
   void OnDone(const base::AttemptId& attempt, net::TransferResult result);
--- a/src/libs/ingress/call_log.cc
+++ b/src/libs/ingress/call_log.cc
@@ -13,7 +13,8 @@
 using telemetry::LogRequestEvent;
 
 constexpr int kServerError = 500;
-// Bytes of the attempts in a line; a value of a line has 200 at most.
+// Maximum length of the list of attempts in bytes; a field of a log line is
+// limited to 200.
 constexpr size_t kMaxAttemptsLength = 180;
 
 std::string_view NameOf(calls::AttemptVerdict verdict) {
@@ -34,14 +35,15 @@
   return "unknown";
 }
 
-// In whole milliseconds, as the line is bounded.
+// Formats in whole milliseconds to keep the line short.
 std::string Rounded(base::Duration duration) {
   return base::FormatDuration(
       std::chrono::round<std::chrono::milliseconds>(duration));
 }
 
-// node@sent+took=verdict, with the reason of what was no answer: when it was
-// sent after the call arrived, and how long it was under way.
+// Formats an attempt as node@sent+took=verdict, followed by :error if the
+// server did not answer. `sent` is relative to the arrival of the call; `took`
+// is the duration of the attempt.
 std::string Describe(const SentAttempt& attempt,
                      base::Instant arrived_at,
                      base::Instant now) {
@@ -65,7 +67,8 @@
   return text;
 }
 
-// The last ones in full, as they decided; of those before, how many.
+// Lists the latest attempts in full, as they determined the outcome, and the
+// number of earlier ones.
 std::string DescribeAttempts(const ActiveCall& call, base::Instant now) {
   std::string text;
   size_t left = call.attempts.size();
@@ -81,7 +84,7 @@
   return left == 0 ? text : absl::StrCat(left, "-before ", text);
 }
 
-// Plain successes are counted, not written.
+// Ordinary successes are counted in metrics, not logged.
 bool IsOrdinary(const ActiveCall& call, const CallEnd& end, bool is_late) {
   return !end.error && !is_late && end.status < kServerError &&
          call.attempts.size() == 1;
--- a/src/libs/ingress/call_log.h
+++ b/src/libs/ingress/call_log.h
@@ -1,6 +1,6 @@
-// The log lines of callers' requests: what was decided, on what, and how old
-// that was. An ordinary success has none; every other end can be found by the
-// name that the caller gave the request.
+// Logs how callers' requests ended, and the facts that led to it. An ordinary
+// success is not logged; any other end can be found by the request id that the
+// caller gave.
 #ifndef INGRESS_CALL_LOG_H_
 #define INGRESS_CALL_LOG_H_
 
@@ -16,23 +16,24 @@
 
 // The end of a caller's request at its ingress.
 struct CallEnd {
-  std::optional<base::ErrorKind> error;  // None: the server's answer.
-  int status = 0;                        // As the caller is told.
+  std::optional<base::ErrorKind>
+      error;       // Not set if a server's answer is sent.
+  int status = 0;  // HTTP status sent to the caller.
   base::Duration retry_after{};
-  uint64_t revision = 0;  // Of the configuration in force.
+  uint64_t revision = 0;  // Of the active configuration.
 };
 
-// Writes nothing for a success in time at the first server.
+// Logs nothing if the first attempt succeeded within the latency target.
 void LogCallEnd(const ActiveCall& call, const CallEnd& end, base::Instant now);
 
-// A request that was not read as a call at all.
-// `revision`: of the configuration that decided it.
+// Logs a request that was rejected before any attempt. `revision`: of the
+// configuration it was checked against.
 void LogCallRejected(const std::string& request,
                      base::RequestFingerprint fingerprint,
                      base::ErrorKind error,
                      uint64_t revision);
 
-// The caller went away before its answer.
+// Logs that the caller disconnected before its answer.
 void LogCallerGone(const ActiveCall& call, base::Instant now);
 
 }  // namespace chestnutport::ingress
--- a/src/libs/ingress/caller_protocol.h
+++ b/src/libs/ingress/caller_protocol.h
@@ -1,5 +1,5 @@
-// How callers and the server beside an ingress speak to it: what a request says
-// of itself, and how an error is told.
+// Protocol between an ingress and its callers, including the local server: how
+// requests are read and errors are reported.
 #ifndef INGRESS_CALLER_PROTOCOL_H_
 #define INGRESS_CALLER_PROTOCOL_H_
 
@@ -17,11 +17,11 @@
 
 namespace chestnutport::ingress {
 
-// What a caller is told when there is no answer of a server.
+// The error sent to a caller when there is no answer from a server.
 struct CallerError {
   base::ErrorKind kind = base::ErrorKind::kInternal;
-  base::Duration retry_after{};  // Zero: coming back would not help.
-  std::string request_id;        // As the caller named it; may be empty.
+  base::Duration retry_after{};  // Zero if a retry would not help.
+  std::string request_id;        // As given by the caller; may be empty.
 };
 
 template <typename Protocol>
@@ -31,19 +31,19 @@
              net::HttpRequest request,
              base::Random& random,
              const CallerError& error) {
-  // The error to answer with if the request is not to be run. A request is
-  // given to one of its route's services here.
+  // Returns the checked request, assigned to one of its route's services, or
+  // the error to answer with.
   {
     protocol.Read(configuration, request, random)
     } -> std::same_as<base::Result<CallerRequest>>;
   { protocol.RequestId(request) } -> std::same_as<std::string>;
-  // Whether callers wait for parts of a second, so that it is worth telling
-  // them the time that suits them best.
+  // Whether callers support retry delays of less than a second, so that a delay
+  // adapted to their deadline is useful.
   { protocol.SupportsSubsecondRetryDelay() } -> std::same_as<bool>;
   { protocol.ErrorAnswer(error) } -> std::same_as<net::HttpAnswer>;
 };
 
-// Any CallerProtocol, by value.
+// Type-erased CallerProtocol.
 struct AnyCallerProtocol {
   template <CallerProtocol Protocol>
   static AnyCallerProtocol Of(const Protocol& protocol) {
@@ -69,7 +69,7 @@
                                             net::HttpRequest,
                                             base::Random&)>
       read;
-  // How the caller names the request; empty: it does not.
+  // Returns the request id given by the caller, or an empty string.
   std::function<std::string(const net::HttpRequest&)> request_id;
   std::function<net::HttpAnswer(const CallerError&)> error_answer;
   bool supports_subsecond_retry_delay = false;
--- a/src/libs/ingress/caller_request.cc
+++ b/src/libs/ingress/caller_request.cc
@@ -13,7 +13,7 @@
 
 using base::ErrorKind;
 
-// Headers that a caller has no say in, or that are written anew.
+// Headers that callers may not set, or that are replaced.
 constexpr const char* kNodeOnlyHeaders[] = {
     wire::kAttemptHeader,     wire::kTargetHeader,        wire::kServiceHeader,
     wire::kSignatureHeader,   wire::kLoadHeader,          wire::kDeadlineHeader,
@@ -37,12 +37,13 @@
   return level;
 }
 
-// An attempt to do this may be given up halfway without harm.
+// Whether a request with this method may be interrupted without harm.
 bool IsSafe(std::string_view method) {
   return method == "GET" || method == "HEAD" || method == "OPTIONS";
 }
 
-// Nothing if the caller's deadline makes no sense.
+// Returns the time until the deadline, or nullopt if the caller's deadline is
+// invalid.
 std::optional<base::Duration> ReadRemaining(
     const net::HttpHeaders& headers,
     const declarations::ServiceDeclaration& declaration) {
--- a/src/libs/ingress/caller_request.h
+++ b/src/libs/ingress/caller_request.h
@@ -1,4 +1,4 @@
-// A caller's request, checked against what is declared.
+// A caller's request, checked against the declarations.
 #ifndef INGRESS_CALLER_REQUEST_H_
 #define INGRESS_CALLER_REQUEST_H_
 
@@ -19,27 +19,28 @@
   std::string service;
   std::string tenant;
   std::string traffic_class;
-  std::string name;  // As the caller named it, for the logs; may be empty.
-  base::RequestFingerprint fingerprint;  // Of what it asks for.
+  std::string name;  // Request id given by the caller, for logs; may be empty.
+  base::RequestFingerprint
+      fingerprint;  // Of tenant, method, host, target and body.
   bool is_repeatable = false;
   base::Duration remaining{};      // Until the caller's deadline.
-  int depth = 0;                   // Calls above this one.
-  std::optional<int> retry_level;  // Of the call above that is repeated.
-  // Of a request that may not be repeated; empty: none.
+  int depth = 0;                   // Number of enclosing calls.
+  std::optional<int> retry_level;  // Depth of the enclosing call that retries.
+  // Only for a request that is not repeatable; may be empty.
   std::string idempotency_key;
-  bool may_stop = false;  // One that runs may be stopped halfway.
-  int most_servers = 3;   // That it may be handed to.
+  bool may_stop = false;  // May be interrupted while running.
+  int most_servers = 3;   // Maximum number of servers that receive it.
   calls::MoveLimits moves;
-  // Where it may run; empty: anywhere.
+  // Regions in which it may run. If empty, all are allowed.
   std::vector<std::string> regions;
-  // An answer is worth most until then; zero: it is worth the same until the
-  // deadline.
+  // Time after which an answer loses value. Zero if it keeps its value until
+  // the deadline.
   base::Duration target_latency{};
   std::optional<base::Duration> key_age;  // Since the key's first use.
-  net::HttpRequest http;  // Without headers that only nodes may set.
+  net::HttpRequest http;  // Without the headers that only nodes may set.
 };
 
-// The error to answer with if the request is not to be run.
+// Returns the checked request, or the error to answer with.
 base::Result<CallerRequest> ReadCallerRequest(
     const declarations::Configuration& configuration,
     net::HttpRequest request);
--- a/src/libs/ingress/ingress.cc
+++ b/src/libs/ingress/ingress.cc
@@ -10,7 +10,7 @@
 namespace chestnutport::ingress {
 namespace {
 
-// Over all services, whatever each declares.
+// Retry budget of the node over all services, whatever each one declares.
 constexpr double kNodeRetryShare = 0.2;
 constexpr double kNodeRetryBurst = 50;
 constexpr std::chrono::seconds kIdleSlack(2);
@@ -31,7 +31,8 @@
   limits.largest_body = std::min(declared.largest_body, limits.all_bodies);
   limits.to_send_request =
       std::chrono::ceil<std::chrono::seconds>(declared.to_send_request);
-  // A caller reuses a connection for nearly as long as it was told to.
+  // Callers may reuse a connection until the declared idle time-out, so it is
+  // closed a little later.
   limits.idle =
       std::chrono::ceil<std::chrono::seconds>(declared.idle) + kIdleSlack;
   return limits;
@@ -141,13 +142,12 @@
     request.traffic_class = EffectiveClass(request, *class_above);
   ServiceTraffic& service = Traffic(request.service);
   const base::Instant now = loop_.now();
-  const calls::Call state_machine(service.Policy(request), now,
-                                  now + request.remaining, service.Budgets());
-  auto call =
-      std::make_unique<ActiveCall>(ActiveCall{.id = ++last_call_,
-                                              .service = &service,
-                                              .state_machine = state_machine,
-                                              .arrived_at = now});
+  const calls::Call call_state(service.Policy(request), now,
+                               now + request.remaining, service.Budgets());
+  auto call = std::make_unique<ActiveCall>(ActiveCall{.id = ++last_call_,
+                                                      .service = &service,
+                                                      .call_state = call_state,
+                                                      .arrived_at = now});
   call->is_nested = class_above.has_value();
   call->request = std::move(request);
   call->reply = std::move(reply);
@@ -155,10 +155,10 @@
   call->reply.OnGone([this, id] {
     UpdateCall(id, [this](ActiveCall& gone) {
       LogCallerGone(gone, loop_.now());
-      return gone.state_machine.OnCallerDisconnected(loop_.now());
+      return gone.call_state.OnCallerDisconnected(loop_.now());
     });
   });
-  const calls::NextSteps steps = call->state_machine.Start(now);
+  const calls::NextSteps steps = call->call_state.Start(now);
   calls_.emplace(id, std::move(call));
   RunSteps(id, steps);
 }
@@ -184,10 +184,10 @@
   if (found == calls_.end())
     return;
   ActiveCall& call = *found->second;
-  // Grows while it is walked through, if a step leads to others.
+  // `steps` grows during the iteration if a step leads to others.
   for (size_t i = 0; i < steps.size(); ++i)
     RunStep(call, calls::NextStep(steps[i]), steps);
-  if (!call.state_machine.IsOver()) {
+  if (!call.call_state.IsOver()) {
     SetTimer(call);
     return;
   }
@@ -232,18 +232,18 @@
 }
 
 calls::NextSteps Ingress::SendOrSkip(ActiveCall& call, int attempt) {
-  // A verdict may have passed since the request came or was last sent.
+  // The request may have been quarantined since it arrived or was last sent.
   const auto left = RemainingQuarantine(call.request);
   if (!left && SendAttempt(call, attempt))
     return {};
   call.attempts.resize(attempt + 1);
-  return left ? call.state_machine.OnQuarantined(attempt, *left, loop_.now())
-              : call.state_machine.OnNoServer(attempt, loop_.now());
+  return left ? call.call_state.OnQuarantined(attempt, *left, loop_.now())
+              : call.call_state.OnNoServer(attempt, loop_.now());
 }
 
 void Ingress::SetTimer(ActiveCall& call) {
-  const base::Instant next = call.state_machine.next_timer();
-  // A timer that is too early costs less than one that is set anew each time.
+  const base::Instant next = call.call_state.next_timer();
+  // A timer that fires too early is cheaper than resetting it each time.
   if (call.timer != 0 && call.timer_at <= next)
     return;
   loop_.Cancel(call.timer);
@@ -251,9 +251,9 @@
   call.timer = loop_.CallAt(next, [this, id = call.id] {
     UpdateCall(id, [this](ActiveCall& due) {
       due.timer = 0;
-      const int attempts = due.state_machine.attempts();
-      auto steps = due.state_machine.OnTimer(loop_.now());
-      due.hedges += due.state_machine.attempts() - attempts;
+      const int attempts = due.call_state.attempts();
+      auto steps = due.call_state.OnTimer(loop_.now());
+      due.hedges += due.call_state.attempts() - attempts;
       return steps;
     });
   });
--- a/src/libs/ingress/ingress.h
+++ b/src/libs/ingress/ingress.h
@@ -1,5 +1,5 @@
-// The caller's side: takes requests, chooses servers, and gives each caller
-// its one final answer. Runs on the ingress thread.
+// Accepts callers' requests, chooses servers, and sends each caller a single
+// final answer. Runs on the ingress thread.
 #ifndef INGRESS_INGRESS_H_
 #define INGRESS_INGRESS_H_
 
@@ -42,83 +42,90 @@
           base::Random random);
   ~Ingress();
 
-  // Binds the callers' listener. Call before the loop runs. Callers wait to be
-  // accepted until this node holds the configuration and knows a server of each
-  // service, for `start_wait` at most: meanwhile it could only refuse them.
+  // Binds the callers' listener. Must be called before the loop runs.
+  // Connections are accepted only once this node has a configuration and a
+  // server of each service, or after `start_wait`: until then, it could only
+  // refuse requests.
   base::Result<base::SocketAddress> Listen(const base::SocketAddress& address,
                                            base::Duration start_wait);
 
-  // Called on the ingress thread.
+  // Must be called on the ingress thread.
   void SetSnapshot(TrafficSnapshot snapshot);
   void SetVerdicts(quarantine::SharedVerdicts verdicts) {
     verdicts_ = std::move(verdicts);
   }
-  // Takes no new connection; calls `empty` once every caller has its answer.
+  // Stops accepting connections, and calls `empty` once every caller has its
+  // answer.
   void Drain(std::function<void()> empty);
 
-  // For the ingress thread.
+  // Must be called on the ingress thread.
   const telemetry::TrafficMetrics& metrics() const {
     return recorder_.metrics();
   }
   size_t in_flight() const { return calls_.size(); }
 
  private:
-  // Whether it holds a configuration, and knows a server of each service.
+  // Whether there is a configuration and a server of each service.
   bool IsReady() const;
   void OnRequest(net::HttpRequest request, net::Reply reply);
-  // A call that a server makes is no more urgent than the request `above` it,
-  // which it is made for: the class that it is given.
+  // Returns the class of a nested call, which is never more urgent than the
+  // class `above` of its enclosing request.
   std::string EffectiveClass(const CallerRequest& call,
                              const std::string& above) const;
-  // For how long the request may be handed to no server; nothing: it may.
+  // Returns the remaining quarantine of the request, or nullopt if it may be
+  // sent to a server.
   std::optional<base::Duration> RemainingQuarantine(
       const CallerRequest& request) const;
-  // Answers a request that servers ended with each time. Returns whether it was
-  // one.
+  // Answers the request with an error if it is quarantined. Returns whether it
+  // was.
   bool RefuseQuarantined(const CallerRequest& request, net::Reply& reply);
-  // Answers a request that no attempt is made for.
+  // Answers a request with an error, without any attempt.
   void Reject(const std::string& request_id,
               net::Reply reply,
               base::ErrorKind error);
-  // Tells the caller that there is no answer of a server.
+  // Sends the caller an error because there is no answer from a server.
   void AnswerError(ActiveCall& call, const calls::NextStep& step);
-  // Counts a call whose final answer is `answer`; no error: the server's.
+  // Records the metrics of an ended call. `answer` is the server's answer if
+  // `error` is not set.
   void Record(const ActiveCall& call,
               std::optional<base::ErrorKind> error,
               const net::HttpAnswer& answer);
-  // Carries out `steps` and what follows from them.
+  // Carries out `steps` and the steps that result from them.
   void RunSteps(CallId id, calls::NextSteps steps);
   void RunStep(ActiveCall& call,
                const calls::NextStep& step,
                calls::NextSteps& steps);
-  // Null if there is none.
+  // Returns null if there is no server.
   const routing::ServerCandidate* ChooseServer(const ActiveCall& call,
                                                base::Instant now);
-  // The one server that may run a request with an idempotency key.
+  // Returns the only server that may run a request with an idempotency key.
   const routing::ServerCandidate* ChooseKeyOwner(const CallerRequest& request);
-  // Whether servers ended with the request twice, by what this node knows of it
-  // or by the call's own attempts.
+  // Whether the request is suspected of crashing servers, according to the
+  // verdicts or because two servers crashed during this call's attempts.
   bool IsSuspect(const ActiveCall& call) const;
-  // The one server, of those that were not tried, that runs the suspect, or the
-  // owner of its key; null if there is none, an attempt is under way, or a
-  // server ended with one: a call takes one server of a suspect at most.
+  // Returns the one untried server that runs this suspect request, or the owner
+  // of its key. Returns null if there is none, if an attempt is in flight, or
+  // if a server crashed during a suspect attempt: a suspect request may crash
+  // at most one server per call.
   const routing::ServerCandidate* ChooseForSuspect(const ActiveCall& call);
-  // For a request that is no suspect. Null if there is none.
+  // Chooses a server for a request that is not suspect. Returns null if there
+  // is none.
   const routing::ServerCandidate* ChooseForAttempt(ActiveCall& call,
                                                    base::Instant now);
-  // What the gate is told of an attempt whose server is chosen.
+  // Returns the head sent to the gate of the chosen server.
   wire::PeerRequestHead MakeAttemptHead(const ActiveCall& call,
                                         int attempt,
                                         base::Instant now) const;
-  // False if there was no server to send to.
+  // Returns false if there was no server to send to.
   bool SendAttempt(ActiveCall& call, int attempt);
-  // The same, unless the request is in quarantine; what follows if it was not
-  // sent.
+  // Sends the attempt unless the request is quarantined. Returns the next steps
+  // if it was not sent.
   calls::NextSteps SendOrSkip(ActiveCall& call, int attempt);
   void SendCommand(const ActiveCall& call, int attempt, bool cancel);
   void Abandon(const ActiveCall& call, int attempt);
   void SetTimer(ActiveCall& call);
-  // Tells the decision of an event, if the call is still there.
+  // Passes an event to the call, if it still exists, and
+  // runs the resulting steps.
   template <typename Event>
   void UpdateCall(CallId id, Event event) {
     const auto found = calls_.find(id);
@@ -146,7 +153,7 @@
   traffic::TrafficRecorder recorder_;
   std::unique_ptr<net::HttpServer> listener_;
   net::EventLoop::TimerId start_timer_ = 0;
-  // After the listener, so that replies end before it does.
+  // Declared after the listener, so that replies are destroyed before it.
   absl::flat_hash_map<CallId, std::unique_ptr<ActiveCall>> calls_;
 };
 
--- a/src/libs/ingress/ingress_answers.cc
+++ b/src/libs/ingress/ingress_answers.cc
@@ -1,4 +1,4 @@
-// What callers are told, and what is counted of their calls.
+// Error answers to callers, and the metrics of their calls.
 #include <algorithm>
 #include <utility>
 
@@ -12,12 +12,13 @@
 namespace chestnutport::ingress {
 namespace {
 
-// A verdict may have run out since it was read.
+// A quarantine may have expired since its verdict was read.
 constexpr std::chrono::milliseconds kMinRetryAfter(1);
 constexpr int kServerError = 500;
 
-// What the caller is told. A request with a key may have run under it before,
-// so only the key's owner can say that it did not run.
+// Returns the error to report to the caller. A request with an idempotency key
+// may have run under this key before, so "not run" is reported only if the
+// key's owner confirmed that the key is new.
 base::ErrorKind ErrorForCaller(const ActiveCall& call, base::ErrorKind error) {
   const bool is_not_run =
       base::AnswerTo(error).outcome == base::Outcome::kNotRun;
@@ -45,7 +46,7 @@
 std::optional<base::Duration> Ingress::RemainingQuarantine(
     const CallerRequest& request) const {
   const quarantine::VerdictUntil verdict = verdicts_->Of(request.fingerprint);
-  // What became of a key is for its owner to say.
+  // Requests with an idempotency key are left to the key's owner.
   const bool has_key = !request.idempotency_key.empty();
   if (has_key || verdict.verdict != quarantine::Verdict::kQuarantined)
     return std::nullopt;
@@ -86,12 +87,13 @@
   const base::ErrorKind error = ErrorForCaller(call, step.error);
   Record(call, error, {});
   base::Duration retry_after = step.retry_after;
-  // A quarantine lasts longer than any deadline: it is told as long as it is.
+  // A quarantine lasts longer than any deadline, so its full duration is
+  // reported.
   const bool is_held = error == base::ErrorKind::kRequestQuarantined ||
                        error == base::ErrorKind::kRequestStopped;
   if (protocol_.supports_subsecond_retry_delay && !is_held) {
     retry_after = calls::RetryDelay(
-        retry_after, call.state_machine.deadline() - loop_.now(), random_);
+        retry_after, call.call_state.deadline() - loop_.now(), random_);
   }
   net::HttpAnswer answer =
       protocol_.error_answer({error, retry_after, call.request.name});
@@ -118,7 +120,7 @@
       .error = error,
       .total = loop_.now() - call.arrived_at,
       .server_time = wire::PeerAnswerHead::Read(answer.headers).server_time,
-      .attempts = call.state_machine.attempts(),
+      .attempts = call.call_state.attempts(),
       .moves = MovesOf(call),
       .hedges = call.hedges});
 }
--- a/src/libs/ingress/ingress_attempts.cc
+++ b/src/libs/ingress/ingress_attempts.cc
@@ -1,5 +1,5 @@
-// The attempts of calls: choosing the server, sending, asking what became of
-// them, and giving them up.
+// The attempts of calls: choosing servers, sending, querying the status, and
+// cancelling.
 #include <algorithm>
 #include <utility>
 
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kCommandTimeout(500);
-// Also asked at the deadline: the answer may still be there.
+// Also used at the deadline, when a reply may still arrive in time.
 constexpr std::chrono::milliseconds kMinCommandTimeout(1);
 
 wire::PeerRequestHead MakeHead(const CallerRequest& request) {
@@ -34,7 +34,7 @@
   return head;
 }
 
-// Tells the levels below which one repeats, and which attempt this is.
+// Adds the level that retries, for the levels below, and the attempt number.
 void AddRetryHeaders(const CallerRequest& request,
                      int attempt,
                      net::HttpHeaders& headers) {
@@ -54,7 +54,7 @@
        request.key_age ? base::FormatDuration(*request.key_age) : "unknown"});
 }
 
-// Those that handed the call back may be asked again.
+// Allows the nodes that returned the call to be tried again.
 void ReadmitReturnedNodes(ActiveCall& call) {
   std::erase_if(call.tried_nodes, [&call](base::NodeId node) {
     return std::ranges::find(call.returned_by, node) != call.returned_by.end();
@@ -84,28 +84,29 @@
 }
 
 bool Ingress::IsSuspect(const ActiveCall& call) const {
-  const auto ended_by =
+  const auto crash_count =
       std::ranges::count_if(call.attempts, [](const SentAttempt& sent) {
         return sent.end && sent.end->error == base::ErrorKind::kServerLost;
       });
-  return ended_by >= static_cast<std::ptrdiff_t>(
-                         quarantine::CrashLedger::kSuspectMarks) ||
+  return crash_count >= static_cast<std::ptrdiff_t>(
+                            quarantine::CrashLedger::kSuspectMarks) ||
          !verdicts_->IsFree(call.request.fingerprint);
 }
 
 const routing::ServerCandidate* Ingress::ChooseForSuspect(
     const ActiveCall& call) {
-  const bool is_under_way =
+  const bool has_open_attempt =
       std::ranges::any_of(call.attempts, [](const SentAttempt& sent) {
         return sent.sent_at != base::Instant() && !sent.end;
       });
-  // The news of the end are on their way, and may put it in quarantine.
-  const bool has_ended_one =
+  // The crash is still being reported to the other nodes, and may lead to a
+  // quarantine.
+  const bool has_crashed_server =
       std::ranges::any_of(call.attempts, [](const SentAttempt& sent) {
         return sent.is_suspect && sent.end &&
                sent.end->error == base::ErrorKind::kServerLost;
       });
-  if (is_under_way || has_ended_one)
+  if (has_open_attempt || has_crashed_server)
     return nullptr;
   if (!call.request.idempotency_key.empty())
     return ChooseKeyOwner(call.request);
@@ -119,7 +120,7 @@
   const auto* server = ChooseServer(call, now);
   if (server || call.returned_by.empty())
     return server;
-  // All others were tried: the least poor of those that handed it back.
+  // All other servers were tried: choose the best of those that returned it.
   ReadmitReturnedNodes(call);
   return ChooseServer(call, now);
 }
@@ -157,7 +158,7 @@
           ended.attempts[attempt].end = end;
           ended.attempts[attempt].ended_at = loop_.now();
           ended.attempts[attempt].answer = std::move(answer);
-          return ended.state_machine.OnAttemptEnd(attempt, end, loop_.now());
+          return ended.call_state.OnAttemptEnd(attempt, end, loop_.now());
         });
       });
   return true;
@@ -167,7 +168,7 @@
                                                int attempt,
                                                base::Instant now) const {
   const CallerRequest& request = call.request;
-  const base::Duration remaining = call.state_machine.deadline() - now;
+  const base::Duration remaining = call.call_state.deadline() - now;
   wire::PeerRequestHead head = MakeHead(request);
   head.attempt = call.attempts[attempt].id;
   head.target = call.attempts[attempt].server.node;
@@ -190,9 +191,9 @@
 void Ingress::SendCommand(const ActiveCall& call, int attempt, bool cancel) {
   const SentAttempt& sent = call.attempts[attempt];
   const base::Instant command_sent_at = loop_.now();
-  const auto timeout = std::clamp<base::Duration>(
-      call.state_machine.deadline() - command_sent_at, kMinCommandTimeout,
-      kCommandTimeout);
+  const auto timeout =
+      std::clamp<base::Duration>(call.call_state.deadline() - command_sent_at,
+                                 kMinCommandTimeout, kCommandTimeout);
   control_client_.SendCommand(
       sent.server, sent.id,
       cancel ? AttemptCommand::kCancel : AttemptCommand::kQueryStatus, timeout,
@@ -203,15 +204,16 @@
             asked.service->timing().OnStatusReply(loop_.now() - command_sent_at,
                                                   loop_.now());
           }
-          return asked.state_machine.OnStatusReply(attempt, answer, cancel,
-                                                   loop_.now());
+          return asked.call_state.OnStatusReply(attempt, answer, cancel,
+                                                loop_.now());
         });
       });
 }
 
 void Ingress::Abandon(const ActiveCall& call, int attempt) {
   const SentAttempt& sent = call.attempts[attempt];
-  // What may run once only is left to finish: half of it done helps nobody.
+  // A request that is not repeatable is left to finish, because interrupting it
+  // could leave its work half done.
   const AttemptCommand command = call.request.is_repeatable
                                      ? AttemptCommand::kStop
                                      : AttemptCommand::kCancel;
--- a/src/libs/ingress/key_owner_view.h
+++ b/src/libs/ingress/key_owner_view.h
@@ -1,4 +1,4 @@
-// The nodes among which the owners of a service's idempotency keys are found.
+// Finds the owners of idempotency keys among the servers of a service.
 #ifndef INGRESS_KEY_OWNER_VIEW_H_
 #define INGRESS_KEY_OWNER_VIEW_H_
 
@@ -11,12 +11,13 @@
 
 namespace chestnutport::ingress {
 
-// In the order of their ids, so that equal views compare equal.
+// Returns the nodes of `servers`, sorted by id so that equal views compare
+// equal.
 std::vector<keys::OwnerNode> ToOwnerNodes(
     std::span<const routing::ServerCandidate> servers);
 
-// The server whose node owns the key, of those that the filter admits; null if
-// there is none.
+// Returns the server, of those that `filter` admits, whose node owns the key,
+// or null if there is none.
 const routing::ServerCandidate* FindKeyOwner(
     uint64_t key_hash,
     std::span<const routing::ServerCandidate> servers,
--- a/src/libs/ingress/native_caller_protocol.h
+++ b/src/libs/ingress/native_caller_protocol.h
@@ -1,4 +1,4 @@
-// How callers speak that know the product's own headers.
+// Protocol of callers that use chestnutport's own headers.
 #ifndef INGRESS_NATIVE_CALLER_PROTOCOL_H_
 #define INGRESS_NATIVE_CALLER_PROTOCOL_H_
 
--- a/src/libs/ingress/service_traffic.cc
+++ b/src/libs/ingress/service_traffic.cc
@@ -7,10 +7,10 @@
 
 constexpr double kRetryBurst = 20;
 constexpr double kHedgeBurst = 5;
-// A refused attempt cost its server nothing, so its share is larger.
+// Larger than for retries, because a refused attempt costs its server nothing.
 constexpr double kRefusalShare = 0.2;
 constexpr double kRefusalBurst = 20;
-// Of the target latency, after which a second try starts.
+// A hedge starts after the target latency divided by this.
 constexpr int kHedgeDivisor = 2;
 constexpr double kQueryShare = 0.05;
 constexpr double kQueryBurst = 50;
@@ -47,8 +47,8 @@
   policy.is_retried_above = request.retry_level.has_value();
   policy.is_pinned_to_server = !request.idempotency_key.empty();
   timing_.Apply(hedge_budget_, policy);
-  // Half of the target is left to the second try; the quantile would come too
-  // late where the work varies more than the target allows.
+  // Leaves half of the target to the hedge. The latency quantile would be too
+  // late if the work varies more than the target allows.
   if (hedge_budget_ > 0 && request.target_latency > base::Duration::zero())
     policy.hedge_delay = request.target_latency / kHedgeDivisor;
   policy.most_servers = request.most_servers;
--- a/src/libs/ingress/service_traffic.h
+++ b/src/libs/ingress/service_traffic.h
@@ -1,4 +1,4 @@
-// What the ingress thread keeps for a service across snapshots.
+// State of a service on the ingress thread that is kept across snapshots.
 #ifndef INGRESS_SERVICE_TRAFFIC_H_
 #define INGRESS_SERVICE_TRAFFIC_H_
 
@@ -20,11 +20,11 @@
                  calls::RetryBudget& node_retries);
 
   void SetDeclaration(const declarations::ServiceDeclaration& declaration);
-  // From now on second attempts are bounded by this node's part of what the
-  // fleet may spend, in place of the declaration's.
+  // From now on limits retries and hedges by this node's share of the
+  // fleet-wide limit instead of by the declaration.
   void SetRetryLimit(const calls::NodeRetryLimit& limit);
 
-  // The policy of a call that begins now.
+  // Returns the policy of a call that begins now.
   calls::CallPolicy Policy(const CallerRequest& request);
   calls::CallBudgets Budgets();
 
--- a/src/libs/ingress/traffic_snapshot.h
+++ b/src/libs/ingress/traffic_snapshot.h
@@ -1,5 +1,5 @@
-// What the control thread tells the ingress thread: what is declared, and
-// which servers there are. Each snapshot replaces the one before as a whole.
+// The configuration and the servers, as the control thread passes them to the
+// ingress thread. Each snapshot replaces the previous one completely.
 #ifndef INGRESS_TRAFFIC_SNAPSHOT_H_
 #define INGRESS_TRAFFIC_SNAPSHOT_H_
 
@@ -20,7 +20,7 @@
       std::make_shared<const declarations::Configuration>();
   std::map<std::string, std::vector<routing::ServerCandidate>, std::less<>>
       servers;  // By service.
-  // If second attempts are bounded for the whole fleet.
+  // Set if retries and hedges are limited for the whole fleet.
   std::optional<calls::NodeRetryLimit> retries;
 };
 
--- a/tests/auto/ingress/call_log_test.cc
+++ b/tests/auto/ingress/call_log_test.cc
@@ -1,4 +1,4 @@
-// What the line of a call says of its attempts.
+// Tests how the log line of a call lists its attempts.
 #include "ingress/call_log.h"
 
 #include <catch2/catch.hpp>
@@ -15,7 +15,8 @@
 
 constexpr base::Instant kStart = base::Instant(std::chrono::hours(1));
 
-// The line of a call that so many nodes handed back before one answered.
+// Returns the log line of a call that was returned `moves` times before a
+// server answered.
 std::string LineAfter(int moves) {
   calls::RetryBudget node_retries(0.2, 50);
   ServiceTraffic service({base::NodeId{1}, "n", "dc", "r"}, node_retries);
@@ -24,9 +25,9 @@
   request.target_latency = milliseconds(120);
   ActiveCall call{.id = 1,
                   .service = &service,
-                  .state_machine = calls::Call(service.Policy(request), kStart,
-                                               kStart + std::chrono::seconds(1),
-                                               service.Budgets()),
+                  .call_state = calls::Call(service.Policy(request), kStart,
+                                            kStart + std::chrono::seconds(1),
+                                            service.Budgets()),
                   .arrived_at = kStart};
   call.request = request;
   for (int i = 0; i <= moves; ++i) {
@@ -48,14 +49,14 @@
   return out.str();
 }
 
-TEST_CASE("a call's line tells its attempts") {
-  SECTION("when each was sent, how long it took, and how it ended") {
+TEST_CASE("the log line of a call lists its attempts") {
+  SECTION("with send time, duration and result") {
     const std::string line = LineAfter(1);
     CHECK(line.find("0000000000000010@0s+4ms=refused:server-slow "
                     "0000000000000011@4ms+4ms=answered") != std::string::npos);
     CHECK(line.find("-before") == std::string::npos);
   }
-  SECTION("the last ones in full, as a line is bounded") {
+  SECTION("only the latest in full if they exceed the maximum length") {
     const std::string line = LineAfter(7);
     CHECK(line.find("0000000000000017@28ms+4ms=answered") != std::string::npos);
     CHECK(line.find("-before ") != std::string::npos);
--- a/tests/auto/ingress/ingress_test.cc
+++ b/tests/auto/ingress/ingress_test.cc
@@ -1,4 +1,4 @@
-// The ingress of a node against peers that answer as the test wants.
+// Tests the ingress of a node against scripted peers.
 #include "ingress/ingress.h"
 
 #include <algorithm>
@@ -19,18 +19,25 @@
 using net::FindHeader;
 using std::chrono::milliseconds;
 
-constexpr std::chrono::seconds kHold(300);
+constexpr std::chrono::seconds kQuarantinePeriod(300);
 constexpr milliseconds kStartWait(250);
 
-enum class Behaviour { kAnswers, kSilent, kRefuses, kFails, kLoses, kStops };
+enum class Behaviour {
+  kAnswers,
+  kNeverAnswers,
+  kRefuses,
+  kFails,
+  kLosesServer,
+  kStops
+};
 
-// A peer listener that takes attempts and questions.
+// A peer that receives attempts, status requests and capacity inquiries.
 class Peer {
  public:
   Peer(net::EventLoop& loop, uint64_t id, Behaviour behaviour)
       : id_{id}, behaviour_(behaviour) {
     dispatcher_.Add("attempt.settle", [this](const std::string& params) {
-      questions.push_back(nlohmann::json::parse(params)["cancel"]);
+      status_requests.push_back(nlohmann::json::parse(params)["cancel"]);
       return nlohmann::json{{"state", state}}.dump();
     });
     auto opened = net::HttpServer::Open(
@@ -49,11 +56,11 @@
     return candidate;
   }
 
-  std::string state = "running";  // What questions are answered with.
-  std::vector<bool> questions;    // Whether each was to cancel.
-  int inquiries = 0;              // Questions for a place.
-  bool answers_questions = true;
-  int gone = 0;  // Attempts whose connection the ingress closed.
+  std::string state = "running";      // Reply to status requests.
+  std::vector<bool> status_requests;  // Whether each was a cancellation.
+  int inquiries = 0;                  // Capacity inquiries.
+  bool answers_status_requests = true;
+  int closed_attempts = 0;  // Attempts whose connection the ingress closed.
   std::vector<net::HttpRequest> attempts;
   std::function<void()> on_attempt = [] {};  // Before it is answered.
 
@@ -61,10 +68,10 @@
   void OnRequest(net::HttpRequest request, net::Reply reply) {
     if (request.target == traffic::kSettlePath) {
       const std::string answer = dispatcher_.Handle(request.body);
-      if (answers_questions)
+      if (answers_status_requests)
         reply.Send({.body = answer});
       else
-        held_.push_back(std::move(reply));
+        pending_replies_.push_back(std::move(reply));
       return;
     }
     if (request.target == traffic::kInquiryPath) {
@@ -89,15 +96,15 @@
       case Behaviour::kRefuses:
         reply.Send(net::MakeErrorAnswer(base::ErrorKind::kDraining));
         return;
-      case Behaviour::kLoses:
+      case Behaviour::kLosesServer:
         reply.Send(net::MakeErrorAnswer(base::ErrorKind::kServerLost));
         return;
       case Behaviour::kStops:
         reply.Send(net::MakeErrorAnswer(base::ErrorKind::kRequestStopped));
         return;
-      case Behaviour::kSilent:
-        reply.OnGone([this] { ++gone; });
-        held_.push_back(std::move(reply));
+      case Behaviour::kNeverAnswers:
+        reply.OnGone([this] { ++closed_attempts; });
+        pending_replies_.push_back(std::move(reply));
         return;
     }
   }
@@ -106,13 +113,13 @@
   Behaviour behaviour_;
   rpc::Dispatcher dispatcher_;
   std::unique_ptr<net::HttpServer> listener_;
-  std::vector<net::Reply> held_;  // Ends before the listener does.
+  std::vector<net::Reply> pending_replies_;  // Ends before the listener does.
 };
 
-// One ingress with peers and a caller, all on one loop.
-class Scene {
+// An ingress with peers and a caller on one event loop.
+class IngressFixture {
  public:
-  Scene()
+  IngressFixture()
       : caller_(loop_, net::HttpClientOptions{}),
         ingress_(loop_,
                  {},
@@ -145,9 +152,9 @@
     return *peers_.back();
   }
 
-  net::HttpAnswer Ask(const std::string& method,
-                      net::HttpHeaders headers,
-                      const std::string& body = "") {
+  net::HttpAnswer SendRequest(const std::string& method,
+                              net::HttpHeaders headers,
+                              const std::string& body = "") {
     net::HttpAnswer answer;
     caller_.Send(
         address_,
@@ -160,9 +167,9 @@
     return answer;
   }
 
-  // Runs until `holds`, for ten seconds at most.
+  // Runs the loop until `holds`, for at most ten seconds.
   template <typename Condition>
-  bool Until(Condition holds) {
+  bool RunUntil(Condition holds) {
     for (int i = 0; i < 1000 && !holds(); ++i) {
       loop_.CallAfter(milliseconds(10), [this] { loop_.Stop(); });
       loop_.Run();
@@ -172,26 +179,27 @@
 
   std::string host() const { return address_.ToString(); }
 
-  // Does `what` while the scene runs.
-  void After(base::Duration wait, std::function<void()> what) {
+  // Calls `what` after `wait` while the loop runs.
+  void RunAfter(base::Duration wait, std::function<void()> what) {
     loop_.CallAfter(wait, std::move(what));
   }
 
   void SetVerdict(base::RequestFingerprint fingerprint,
                   quarantine::Verdict verdict) {
     quarantine::Verdicts verdicts;
-    verdicts.Set(fingerprint, {verdict, base::Clock::now() + kHold});
+    verdicts.Set(fingerprint,
+                 {verdict, base::Clock::now() + kQuarantinePeriod});
     ingress_.SetVerdicts(
         std::make_shared<const quarantine::Verdicts>(verdicts));
   }
 
-  // Sends a request whose caller leaves once `holds`.
+  // Sends a request, and disconnects once `holds`.
   template <typename Condition>
-  void AskAndLeave(Condition holds) {
+  void SendAndDisconnect(Condition holds) {
     const auto transfer =
         caller_.Send(address_, {.method = "POST", .target = "/1"},
                      std::chrono::seconds(10), [](net::TransferResult) {});
-    REQUIRE(Until(holds));
+    REQUIRE(RunUntil(holds));
     caller_.Cancel(transfer);
   }
 
@@ -212,9 +220,9 @@
   return std::string(FindHeader(answer.headers, wire::kOutcomeHeader));
 }
 
-// Of a GET that the scene's caller sends.
-base::RequestFingerprint FingerprintOfAsk(const std::string& host,
-                                          std::string_view method = "GET") {
+// Returns the fingerprint of a request sent by IngressFixture::SendRequest().
+base::RequestFingerprint FingerprintOfRequest(const std::string& host,
+                                              std::string_view method = "GET") {
   return base::RequestFingerprint::Of({.tenant = "",
                                        .method = method,
                                        .host = host,
@@ -223,71 +231,77 @@
 }
 
 TEST_CASE("an ingress node") {
-  Scene scene;
+  IngressFixture fixture;
 
-  SECTION("whose peer takes a request and falls silent") {
-    Peer& silent = scene.Add(Behaviour::kSilent);
+  SECTION("whose peer accepts a request but does not answer") {
+    Peer& unresponsive = fixture.Add(Behaviour::kNeverAnswers);
 
-    SECTION("tells the caller at the deadline that it may have run") {
-      const auto answer = scene.Ask("POST", {{wire::kDeadlineHeader, "80ms"}});
+    SECTION("reports an unknown outcome to the caller at the deadline") {
+      const auto answer =
+          fixture.SendRequest("POST", {{wire::kDeadlineHeader, "80ms"}});
       CHECK(Outcome(answer) == "unknown");
       CHECK(FindHeader(answer.headers, wire::kErrorHeader) ==
             "deadline-passed");
-      CHECK(silent.questions == std::vector<bool>{true});
+      CHECK(unresponsive.status_requests == std::vector<bool>{true});
     }
-    SECTION("tells the caller that it did not run if the peer confirms it") {
-      silent.state = "never-runs";
-      const auto answer = scene.Ask("POST", {{wire::kDeadlineHeader, "80ms"}});
+    SECTION("reports that it did not run if the peer confirms this") {
+      unresponsive.state = "never-runs";
+      const auto answer =
+          fixture.SendRequest("POST", {{wire::kDeadlineHeader, "80ms"}});
       CHECK(Outcome(answer) == "not-run");
       CHECK(FindHeader(answer.headers, wire::kErrorHeader) == "cancelled");
     }
-    SECTION("asks for its state, and sends elsewhere what never arrived") {
-      silent.state = "never-runs";
+    SECTION("queries its status, and resends it if it never arrived") {
+      unresponsive.state = "never-runs";
       // The first has no other server; the second peer comes while it waits.
       std::string answered;
-      scene.Add(Behaviour::kAnswers);
-      for (int i = 0; i < 20 && silent.questions.empty(); ++i) {
-        const auto answer = scene.Ask("POST", {{wire::kDeadlineHeader, "8s"}});
+      fixture.Add(Behaviour::kAnswers);
+      for (int i = 0; i < 20 && unresponsive.status_requests.empty(); ++i) {
+        const auto answer =
+            fixture.SendRequest("POST", {{wire::kDeadlineHeader, "8s"}});
         CHECK(answer.status == 200);
       }
-      CHECK(silent.questions == std::vector<bool>{false});
+      CHECK(unresponsive.status_requests == std::vector<bool>{false});
     }
-    SECTION("cancels the attempt when the caller goes away") {
-      scene.AskAndLeave([&] { return !silent.attempts.empty(); });
-      CHECK(scene.Until([&] { return !silent.questions.empty(); }));
-      CHECK(silent.questions == std::vector<bool>{true});
-      CHECK(silent.gone == 0);
+    SECTION("cancels the attempt when the caller disconnects") {
+      fixture.SendAndDisconnect([&] { return !unresponsive.attempts.empty(); });
+      CHECK(fixture.RunUntil(
+          [&] { return !unresponsive.status_requests.empty(); }));
+      CHECK(unresponsive.status_requests == std::vector<bool>{true});
+      CHECK(unresponsive.closed_attempts == 0);
     }
-    SECTION("cancels again, and closes the connection, if it is not told") {
-      silent.answers_questions = false;
-      scene.AskAndLeave([&] { return !silent.attempts.empty(); });
-      CHECK(scene.Until([&] { return silent.questions.size() > 1; }));
-      CHECK(scene.Until([&] { return silent.gone == 1; }));
+    SECTION("repeats a cancellation without reply, and closes the connection") {
+      unresponsive.answers_status_requests = false;
+      fixture.SendAndDisconnect([&] { return !unresponsive.attempts.empty(); });
+      CHECK(fixture.RunUntil(
+          [&] { return unresponsive.status_requests.size() > 1; }));
+      CHECK(
+          fixture.RunUntil([&] { return unresponsive.closed_attempts == 1; }));
     }
   }
 
-  SECTION("sends elsewhere what is refused, also if it may not be repeated") {
-    Peer& leaving = scene.Add(Behaviour::kRefuses);
-    scene.Add(Behaviour::kAnswers);
+  SECTION("resends a refused request even if it is not repeatable") {
+    Peer& leaving = fixture.Add(Behaviour::kRefuses);
+    fixture.Add(Behaviour::kAnswers);
     for (int i = 0; i < 20; ++i)
-      CHECK(scene.Ask("POST", {}).status == 200);
+      CHECK(fixture.SendRequest("POST", {}).status == 200);
     CHECK_FALSE(leaving.attempts.empty());
   }
 
-  SECTION("sends a large body only to a peer that has a place for it") {
-    Peer& full = scene.Add(Behaviour::kRefuses);
-    Peer& free = scene.Add(Behaviour::kAnswers);
+  SECTION("sends a large body only to a peer that has capacity") {
+    Peer& full = fixture.Add(Behaviour::kRefuses);
+    Peer& free = fixture.Add(Behaviour::kAnswers);
     const std::string body(60000, 'x');
     for (int i = 0; i < 20; ++i)
-      CHECK(scene.Ask("POST", {}, body).status == 200);
+      CHECK(fixture.SendRequest("POST", {}, body).status == 200);
     CHECK(full.inquiries > 0);
     CHECK(full.attempts.empty());
     REQUIRE(free.attempts.size() == 20);
     CHECK(free.attempts.front().body == body);
 
-    SECTION("while a small one is sent at once") {
+    SECTION("and a small one without a capacity inquiry") {
       const int inquiries = free.inquiries;
-      CHECK(scene.Ask("POST", {}, "x").status == 200);
+      CHECK(fixture.SendRequest("POST", {}, "x").status == 200);
       CHECK(free.inquiries == inquiries);
     }
   }
@@ -295,18 +309,19 @@
   SECTION("sends each use of an idempotency key to one owner") {
     std::vector<Peer*> peers;
     for (int i = 0; i < 3; ++i)
-      peers.push_back(&scene.Add(Behaviour::kAnswers));
+      peers.push_back(&fixture.Add(Behaviour::kAnswers));
     for (int i = 0; i < 20; ++i)
-      scene.Ask("POST", {{wire::kIdempotencyKeyHeader, "k"}});
+      fixture.SendRequest("POST", {{wire::kIdempotencyKeyHeader, "k"}});
     const auto asked = std::ranges::count_if(
         peers, [](const Peer* peer) { return !peer->attempts.empty(); });
     CHECK(asked == 1);
-    SECTION("also of a suspect, and leaves it to the owner what is held") {
+    SECTION("even if the request is suspected or quarantined") {
       for (const auto verdict : {quarantine::Verdict::kSuspected,
                                  quarantine::Verdict::kQuarantined}) {
-        scene.SetVerdict(FingerprintOfAsk(scene.host(), "POST"), verdict);
-        CHECK(scene.Ask("POST", {{wire::kIdempotencyKeyHeader, "k"}}).status ==
-              200);
+        fixture.SetVerdict(FingerprintOfRequest(fixture.host(), "POST"),
+                           verdict);
+        CHECK(fixture.SendRequest("POST", {{wire::kIdempotencyKeyHeader, "k"}})
+                  .status == 200);
       }
       const auto still_asked = std::ranges::count_if(
           peers, [](const Peer* peer) { return !peer->attempts.empty(); });
@@ -314,30 +329,31 @@
     }
   }
 
-  SECTION("asks no peer for a request that is in quarantine") {
-    Peer& peer = scene.Add(Behaviour::kAnswers);
-    scene.SetVerdict(FingerprintOfAsk(scene.host()),
-                     quarantine::Verdict::kQuarantined);
-    const auto answer = scene.Ask("GET", {});
+  SECTION("sends a quarantined request to no peer") {
+    Peer& peer = fixture.Add(Behaviour::kAnswers);
+    fixture.SetVerdict(FingerprintOfRequest(fixture.host()),
+                       quarantine::Verdict::kQuarantined);
+    const auto answer = fixture.SendRequest("GET", {});
     CHECK(answer.status == 503);
     CHECK(Outcome(answer) == "not-run");
     CHECK(FindHeader(answer.headers, wire::kErrorHeader) ==
           "request-quarantined");
     CHECK(FindHeader(answer.headers, "Retry-After") == "300");
     CHECK(peer.attempts.empty());
-    SECTION("and any for another") {
-      CHECK(scene.Ask("GET", {}, "another body").status == 200);
+    SECTION("but still sends other requests") {
+      CHECK(fixture.SendRequest("GET", {}, "another body").status == 200);
     }
   }
 
-  SECTION("sends a suspect to one peer each time, and says what it is") {
+  SECTION(
+      "sends a suspect request always to the same peer, marked as suspect") {
     std::vector<Peer*> peers;
     for (int i = 0; i < 3; ++i)
-      peers.push_back(&scene.Add(Behaviour::kAnswers));
-    scene.SetVerdict(FingerprintOfAsk(scene.host()),
-                     quarantine::Verdict::kSuspected);
+      peers.push_back(&fixture.Add(Behaviour::kAnswers));
+    fixture.SetVerdict(FingerprintOfRequest(fixture.host()),
+                       quarantine::Verdict::kSuspected);
     for (int i = 0; i < 20; ++i)
-      CHECK(scene.Ask("GET", {}).status == 200);
+      CHECK(fixture.SendRequest("GET", {}).status == 200);
     const auto asked = std::ranges::find_if(
         peers, [](const Peer* peer) { return !peer->attempts.empty(); });
     REQUIRE(asked != peers.end());
@@ -346,13 +362,13 @@
           "1");
   }
 
-  SECTION("gives a suspect to no other when its server has ended with it") {
+  SECTION("does not resend a suspect request that crashed a server") {
     std::vector<Peer*> peers;
     for (int i = 0; i < 3; ++i)
-      peers.push_back(&scene.Add(Behaviour::kLoses));
-    scene.SetVerdict(FingerprintOfAsk(scene.host()),
-                     quarantine::Verdict::kSuspected);
-    const auto answer = scene.Ask("GET", {});
+      peers.push_back(&fixture.Add(Behaviour::kLosesServer));
+    fixture.SetVerdict(FingerprintOfRequest(fixture.host()),
+                       quarantine::Verdict::kSuspected);
+    const auto answer = fixture.SendRequest("GET", {});
     CHECK(answer.status == 502);
     CHECK(Outcome(answer) == "unknown");
     size_t asked = 0;
@@ -361,11 +377,11 @@
     CHECK(asked == 1);
   }
 
-  SECTION("takes what two servers ended with for a suspect at once") {
+  SECTION("treats a request that crashed two servers as suspect at once") {
     std::vector<Peer*> peers;
     for (int i = 0; i < 3; ++i)
-      peers.push_back(&scene.Add(Behaviour::kLoses));
-    const auto answer = scene.Ask("GET", {});
+      peers.push_back(&fixture.Add(Behaviour::kLosesServer));
+    const auto answer = fixture.SendRequest("GET", {});
     CHECK(Outcome(answer) == "unknown");
     int suspected = 0;
     for (const Peer* peer : peers) {
@@ -376,7 +392,7 @@
     CHECK(suspected == 1);
   }
 
-  SECTION("hands on nothing that is put in quarantine under way") {
+  SECTION("does not resend a request that is quarantined meanwhile") {
     const auto asked = [](const std::vector<Peer*>& peers) {
       size_t attempts = 0;
       for (const Peer* peer : peers)
@@ -385,35 +401,35 @@
     };
     std::vector<Peer*> peers;
 
-    SECTION("as this node knows it by then") {
+    SECTION("according to the verdicts of this node") {
       for (int i = 0; i < 3; ++i) {
-        peers.push_back(&scene.Add(Behaviour::kLoses));
-        peers.back()->on_attempt = [&scene] {
-          scene.SetVerdict(FingerprintOfAsk(scene.host()),
-                           quarantine::Verdict::kQuarantined);
+        peers.push_back(&fixture.Add(Behaviour::kLosesServer));
+        peers.back()->on_attempt = [&fixture] {
+          fixture.SetVerdict(FingerprintOfRequest(fixture.host()),
+                             quarantine::Verdict::kQuarantined);
         };
       }
-      CHECK(Outcome(scene.Ask("GET", {})) == "unknown");
+      CHECK(Outcome(fixture.SendRequest("GET", {})) == "unknown");
       CHECK(asked(peers) == 1);
     }
-    SECTION("nor tells that it may have run, if it did not") {
+    SECTION("and reports that it did not run, if so") {
       for (int i = 0; i < 3; ++i) {
-        peers.push_back(&scene.Add(Behaviour::kRefuses));
-        peers.back()->on_attempt = [&scene] {
-          scene.SetVerdict(FingerprintOfAsk(scene.host()),
-                           quarantine::Verdict::kQuarantined);
+        peers.push_back(&fixture.Add(Behaviour::kRefuses));
+        peers.back()->on_attempt = [&fixture] {
+          fixture.SetVerdict(FingerprintOfRequest(fixture.host()),
+                             quarantine::Verdict::kQuarantined);
         };
       }
-      const auto answer = scene.Ask("GET", {});
+      const auto answer = fixture.SendRequest("GET", {});
       CHECK(FindHeader(answer.headers, wire::kErrorHeader) ==
             "request-quarantined");
       CHECK(FindHeader(answer.headers, "Retry-After") == "300");
       CHECK(asked(peers) == 1);
     }
-    SECTION("as the node that stopped it says") {
+    SECTION("according to the node that stopped it") {
       for (int i = 0; i < 3; ++i)
-        peers.push_back(&scene.Add(Behaviour::kStops));
-      const auto answer = scene.Ask("GET", {});
+        peers.push_back(&fixture.Add(Behaviour::kStops));
+      const auto answer = fixture.SendRequest("GET", {});
       CHECK(FindHeader(answer.headers, wire::kErrorHeader) ==
             "request-stopped");
       CHECK(Outcome(answer) == "unknown");
@@ -421,19 +437,19 @@
     }
   }
 
-  SECTION("repeats what failed only if it may be repeated") {
-    Peer& failing = scene.Add(Behaviour::kFails);
-    scene.Add(Behaviour::kAnswers);
+  SECTION("retries a failed request only if it is repeatable") {
+    Peer& failing = fixture.Add(Behaviour::kFails);
+    fixture.Add(Behaviour::kAnswers);
     for (int i = 0; i < 10; ++i)
-      CHECK(scene.Ask("GET", {}).status == 200);
+      CHECK(fixture.SendRequest("GET", {}).status == 200);
     REQUIRE_FALSE(failing.attempts.empty());
     const auto& headers = failing.attempts.front().headers;
     CHECK(FindHeader(headers, wire::kRetryLevelHeader) == "0");
 
-    SECTION("and not below a level that repeats") {
+    SECTION("and not below a level that retries") {
       int failures = 0;
       for (int i = 0; i < 20; ++i) {
-        const auto answer = scene.Ask(
+        const auto answer = fixture.SendRequest(
             "GET", {{wire::kDepthHeader, "2"}, {wire::kRetryLevelHeader, "1"}});
         failures += answer.status == 500 ? 1 : 0;
       }
@@ -442,17 +458,18 @@
   }
 }
 
-TEST_CASE("an ingress node that has just started") {
-  Scene scene;
+TEST_CASE("an ingress node that has just been started") {
+  IngressFixture fixture;
 
-  SECTION("lets callers wait until it knows where to send them") {
-    scene.After(kStartWait / 4, [&scene] { scene.Add(Behaviour::kAnswers); });
-    CHECK(scene.Ask("GET", {}).status == 200);
+  SECTION("keeps callers waiting until it has a configuration and servers") {
+    fixture.RunAfter(kStartWait / 4,
+                     [&fixture] { fixture.Add(Behaviour::kAnswers); });
+    CHECK(fixture.SendRequest("GET", {}).status == 200);
   }
-  SECTION("refuses them soon if nobody tells it") {
+  SECTION("refuses them after the start wait without a configuration") {
     bool is_late = false;
-    scene.After(kStartWait * 4, [&is_late] { is_late = true; });
-    const auto answer = scene.Ask("GET", {});
+    fixture.RunAfter(kStartWait * 4, [&is_late] { is_late = true; });
+    const auto answer = fixture.SendRequest("GET", {});
     CHECK_FALSE(is_late);
     CHECK(FindHeader(answer.headers, wire::kErrorHeader) ==
           "configuration-missing");
