--- a/src/libs/keys/key_ownership.cc
+++ b/src/libs/keys/key_ownership.cc
@@ -41,12 +41,13 @@
   as_of_ = as_of;
   if (views_.empty() || views_.back().nodes != nodes)
     views_.push_back({as_of, std::move(nodes)});
-  // The oldest that is kept reaches back to before the window.
+  // The oldest stored view began before the reuse window.
   const Instant oldest = as_of - options_.reuse_window - options_.settling_time;
   while (views_.size() > 1 && views_[1].started_at <= oldest)
     views_.pop_front();
   has_majority_ = HasMajority();
-  // Meanwhile another may have owned the keys, whatever the views here say.
+  // In the meantime another node may have owned the keys, whatever the views of
+  // this node show.
   if (!was_valid)
     valid_since_ = as_of;
 }
--- a/src/libs/keys/key_ownership.h
+++ b/src/libs/keys/key_ownership.h
@@ -1,10 +1,10 @@
-// Which node of a service owns an idempotency key: the only one that runs
-// requests with it. Pure: views of the fleet and times are passed in.
+// Determines which node of a service owns an idempotency key, and so is the
+// only one to run requests with it. Views of the fleet and times are passed in.
 //
-// Nothing is agreed between nodes. Two of them are kept from running the same
-// key by time: a node acts on a view of the fleet for `validity` only, a new
-// owner waits for `settle`, which is longer, and it runs only keys that it can
-// tell to be younger than its ownership.
+// Nodes do not coordinate. Timing prevents two nodes from running the same key:
+// a node uses a view of the fleet only for `view_validity`, a new owner waits
+// for the longer `settling_time`, and it runs only keys that are known to be
+// younger than its ownership.
 #ifndef KEYS_KEY_OWNERSHIP_H_
 #define KEYS_KEY_OWNERSHIP_H_
 
@@ -21,11 +21,11 @@
 
 enum class OwnerState {
   kServing,
-  kSuspected,  // Still the owner of its keys, but does not count as present.
-  kDraining,   // Owns no keys any more; leaves in good order.
+  kSuspected,  // Still owns its keys, but does not count towards the majority.
+  kDraining,   // Owns no keys, and is leaving the fleet.
 };
 
-// A node beside a server of the service.
+// A node on the VM of one of the service's servers.
 struct OwnerNode {
   base::NodeId id;
   OwnerState state = OwnerState::kServing;
@@ -34,32 +34,33 @@
 };
 
 struct OwnershipOptions {
-  // A view is not acted on for longer.
+  // Time for which a view may be used.
   base::Duration view_validity = std::chrono::seconds(3);
-  // A new owner runs nothing before; all views of the time before have lost
-  // their validity by then, if news spreads within the difference.
+  // Time for which a new owner runs nothing. By then all earlier views have
+  // expired, provided that membership updates propagate within the difference
+  // to `view_validity`.
   base::Duration settling_time = std::chrono::seconds(5);
-  // How long a caller may send the same key again after its first use.
+  // Time after the first use of a key in which a caller may send it again.
   base::Duration reuse_window = std::chrono::minutes(2);
-  // A request may be on its way to its owner for so long.
+  // Maximum time that a request takes to reach the owner.
   base::Duration max_transit = std::chrono::seconds(1);
 };
 
 enum class OwnershipStatus {
-  kMayRun,     // The owner, which would know of an earlier use.
-  kUncertain,  // The owner, but an earlier one may have run the key.
-  kSettling,   // The owner, too recently to run anything.
+  kMayRun,     // Owns the key, and would have a record of any earlier use.
+  kUncertain,  // Owns the key, but a previous owner may have run it.
+  kSettling,   // Became the owner too recently to run anything.
   kNotOwner,
-  kNoValidView,  // Cut off, paused, or in a minority.
+  kNoValidView,  // Isolated, paused, or in a minority partition.
 };
 
 struct OwnershipDecision {
   OwnershipStatus status = OwnershipStatus::kNoValidView;
-  base::Duration retry_after{};  // Of kUncertain and kSettling.
+  base::Duration retry_after{};  // For kUncertain and kSettling.
 };
 
-// The owner by rendezvous hash among those that own keys; nothing if there is
-// none.
+// Returns the owner by rendezvous hashing among the nodes that may own keys, or
+// nullopt if there is none.
 std::optional<base::NodeId> OwnerOf(uint64_t key_hash,
                                     std::span<const OwnerNode> nodes);
 
@@ -67,17 +68,17 @@
  public:
   KeyOwnership(base::NodeId self, const OwnershipOptions& options);
 
-  // The nodes of the service as known at `as_of`. To be repeated several times
-  // within the validity, also without a change: after a longer gap this node
-  // was paused, and owns its keys anew.
+  // Sets the nodes of the service as known at `as_of`. Must be called several
+  // times within `view_validity`, even without a change: after a longer gap
+  // this node is assumed to have been paused, and its ownership starts again.
   void SetView(std::vector<OwnerNode> nodes, base::Instant as_of);
 
-  // `key_age`: time since the key's first use, if the caller tells it.
+  // `key_age`: time since the key's first use, if given by the caller.
   OwnershipDecision StatusOf(uint64_t key_hash,
                              std::optional<base::Duration> key_age,
                              base::Instant now) const;
 
-  // Whether the newest view may be acted on.
+  // Whether the latest view may be used.
   bool IsValid(base::Instant now) const;
 
  private:
@@ -87,15 +88,15 @@
   };
 
   bool HasMajority() const;
-  // Since when this node has owned the key without a break, as far as views
-  // are kept.
+  // Returns the time since which this node has owned the key without
+  // interruption, as far as the stored views reach.
   base::Instant OwnedSince(uint64_t key_hash) const;
 
   base::NodeId self_;
   OwnershipOptions options_;
-  std::deque<View> views_;  // Newest last; those of the last window.
+  std::deque<View> views_;  // Newest last; covers the reuse window.
   base::Instant as_of_;
-  base::Instant valid_since_;  // Without a break.
+  base::Instant valid_since_;  // Without interruption.
   bool has_majority_ = false;
 };
 
--- a/src/libs/keys/key_record_store.cc
+++ b/src/libs/keys/key_record_store.cc
@@ -3,7 +3,7 @@
 namespace chestnutport::keys {
 namespace {
 
-// Headers and bookkeeping are counted by an estimate.
+// Estimated overhead of a header in memory.
 constexpr size_t kHeaderBytes = 64;
 
 size_t SizeOf(const net::HttpAnswer& answer) {
@@ -21,7 +21,7 @@
   Expire(now);
   const auto found = records_.find(scope);
   if (found == records_.end()) {
-    // An older record must not make room: its key could then run again.
+    // Older records must not be evicted: their keys could then run again.
     if (records_.size() >= limits_.records)
       return {ClaimVerdict::kFull};
     records_[scope].fingerprint = fingerprint;
--- a/src/libs/keys/key_record_store.h
+++ b/src/libs/keys/key_record_store.h
@@ -1,5 +1,5 @@
-// What became of the requests with idempotency keys that this node owns. Pure:
-// time is passed in. Bounded in records, bytes and time.
+// Records the results of requests with idempotency keys that this node owns.
+// Limited in number, bytes and age of records. Time is passed in.
 #ifndef KEYS_KEY_RECORD_STORE_H_
 #define KEYS_KEY_RECORD_STORE_H_
 
@@ -17,20 +17,20 @@
 
 struct KeyRecordLimits {
   size_t records = 50000;
-  size_t bytes = 16 * 1024 * 1024;      // Of all kept answers.
-  size_t max_answer_bytes = 64 * 1024;  // Bytes of a body that is kept.
-  // Longer than the window in which a key may be sent again.
+  size_t bytes = 16 * 1024 * 1024;      // Of all stored answers.
+  size_t max_answer_bytes = 64 * 1024;  // Larger bodies are not stored.
+  // Longer than the window in which a key may be reused.
   base::Duration retention = std::chrono::minutes(3);
 };
 
 enum class ClaimVerdict {
-  kRun,             // New: run it, then tell how it ended.
+  kRun,             // New key: run the request, then report how it ended.
   kInUse,           // A request with this key is running.
-  kAnswered,        // It ran; `answer` is what was answered.
-  kAnsweredBefore,  // It ran; the answer was too large to keep.
-  kUncertain,       // It may have run.
+  kAnswered,        // The request ran; `answer` is the stored answer.
+  kAnsweredBefore,  // The request ran, but its answer was not stored.
+  kUncertain,       // The request may have run.
   kMismatch,        // The key was first used for another request.
-  kFull,            // There is no room for a further record.
+  kFull,            // The maximum number of records is reached.
 };
 
 struct Claim {
@@ -42,22 +42,23 @@
  public:
   explicit KeyRecordStore(const KeyRecordLimits& limits) : limits_(limits) {}
 
-  // Whether there is a record, also of a request that runs.
+  // Whether there is a record for the key, including one of a running request.
   bool Contains(const KeyScope& scope) const {
     return records_.contains(scope);
   }
 
   Claim Begin(const KeyScope& scope, uint64_t fingerprint, base::Instant now);
-  // Each kRun is followed by one of these.
+  // Each kRun must be followed by one of these.
   void OnAnswer(const KeyScope& scope,
                 const net::HttpAnswer& answer,
                 base::Instant now);
-  // It ran, but its answer is not at hand.
+  // The request ran, but its answer is not available.
   void OnAnswerDiscarded(const KeyScope& scope, base::Instant now);
   void OnNotRun(const KeyScope& scope);
   void OnUncertain(const KeyScope& scope, base::Instant now);
 
-  // Forgets what is old; the cost is that of what is forgotten.
+  // Removes records older than the retention time. Takes time proportional to
+  // the number removed.
   void Expire(base::Instant now);
 
   size_t records() const { return records_.size(); }
--- a/src/libs/keys/key_scope.h
+++ b/src/libs/keys/key_scope.h
@@ -1,4 +1,4 @@
-// What an idempotency key belongs to, and what it was first used for.
+// The scope of an idempotency key, and the fingerprint of its request.
 #ifndef KEYS_KEY_SCOPE_H_
 #define KEYS_KEY_SCOPE_H_
 
@@ -11,13 +11,14 @@
 
 namespace chestnutport::keys {
 
-// The same key of another tenant, or for another service, is another key.
+// Keys of different tenants or services are different, even if they are spelt
+// alike.
 struct KeyScope {
   std::string service;
   std::string tenant;
   std::string key;
 
-  // Equal on all nodes; decides who owns the key.
+  // Returns a hash that is equal on all nodes and determines the key's owner.
   uint64_t Hash() const;
 
   auto operator<=>(const KeyScope&) const = default;
@@ -28,9 +29,9 @@
   }
 };
 
-// A hash of method, target and body. It finds a key that is used for something
-// else by mistake; it is no defence against a caller that wants a collision
-// with its own request.
+// Returns a hash of method, target and body. Detects a key that is reused for
+// another request by mistake, but is no protection against a caller that
+// constructs a collision with its own request.
 uint64_t Fingerprint(const net::HttpRequest& request);
 
 }  // namespace chestnutport::keys
--- a/tests/auto/keys/key_ledger_test.cc
+++ b/tests/auto/keys/key_ledger_test.cc
@@ -1,4 +1,4 @@
-// What a node remembers of the idempotency keys that it owns.
+// Tests the records of idempotency keys that a node owns.
 #include "keys/key_record_store.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 const base::Instant kNow = base::Instant(std::chrono::hours(1));
 const KeyScope kScope = {"dossie", "firm-a", "k1"};
 
-TEST_CASE("a key that is used once") {
+TEST_CASE("a key that has been used") {
   keys::KeyRecordLimits limits;
   limits.records = 2;
   limits.bytes = 1000;
@@ -27,7 +27,7 @@
   SECTION("is refused for another request") {
     CHECK(ledger.Begin(kScope, 2, kNow).verdict == ClaimVerdict::kMismatch);
   }
-  SECTION("is another key for another tenant or service") {
+  SECTION("is independent of the same key of another tenant or service") {
     for (const KeyScope& other : {KeyScope{"dossie", "firm-b", "k1"},
                                   KeyScope{"laudo", "firm-a", "k1"}}) {
       CHECK(ledger.Begin(other, 1, kNow).verdict == ClaimVerdict::kRun);
@@ -42,7 +42,7 @@
     ledger.OnUncertain(kScope, kNow);
     CHECK(ledger.Begin(kScope, 1, kNow).verdict == ClaimVerdict::kUncertain);
   }
-  SECTION("is answered from the record, until that is old") {
+  SECTION("is answered from its record until that expires") {
     ledger.OnAnswer(kScope, {.status = 201, .body = "done"}, kNow);
     const auto claim = ledger.Begin(kScope, 1, kNow + limits.retention);
     REQUIRE(claim.verdict == ClaimVerdict::kAnswered);
@@ -52,13 +52,13 @@
     CHECK(ledger.records() == 0);
     CHECK(ledger.bytes() == 0);
   }
-  SECTION("is told to have run if the answer is too large to keep") {
+  SECTION("is reported as answered if the answer is too large to store") {
     ledger.OnAnswer(kScope, {.body = std::string(101, 'x')}, kNow);
     CHECK(ledger.Begin(kScope, 1, kNow).verdict ==
           ClaimVerdict::kAnsweredBefore);
     CHECK(ledger.bytes() == 0);
   }
-  SECTION("is never forgotten to make room") {
+  SECTION("is never evicted to make room") {
     REQUIRE(ledger.Begin({"dossie", "", "k2"}, 1, kNow).verdict ==
             ClaimVerdict::kRun);
     CHECK(ledger.Begin({"dossie", "", "k3"}, 1, kNow).verdict ==
--- a/tests/auto/keys/key_ownership_test.cc
+++ b/tests/auto/keys/key_ownership_test.cc
@@ -1,4 +1,4 @@
-// Who owns an idempotency key, and when it may be run.
+// Tests which node owns an idempotency key, and when it may run it.
 #include "keys/key_ownership.h"
 
 #include <catch2/catch.hpp>
@@ -40,7 +40,7 @@
     draining[owner.value - 1].state = OwnerState::kDraining;
     CHECK(keys::OwnerOf(kKey, draining) != owner);
   }
-  SECTION("is spread evenly over the nodes") {
+  SECTION("is distributed evenly over the nodes") {
     std::map<uint64_t, int> owned;
     for (uint64_t key = 0; key < 9000; ++key)
       ++owned[keys::OwnerOf(key * 0x9E3779B97F4A7C15, nodes)->value];
@@ -66,17 +66,17 @@
     return ownership.StatusOf(kKey, age, now).status;
   };
 
-  SECTION("runs nothing before earlier views have lost their validity") {
+  SECTION("runs nothing before earlier views have expired") {
     CHECK(status(seconds(0)) == OwnershipStatus::kSettling);
     pass(options.settling_time, nodes);
     CHECK(status(std::nullopt) == OwnershipStatus::kUncertain);
     pass(options.max_transit, nodes);
 
-    SECTION("then runs what is known to be younger") {
+    SECTION("then runs keys known to be younger than its ownership") {
       CHECK(status(seconds(0)) == OwnershipStatus::kMayRun);
       CHECK(status(seconds(1)) == OwnershipStatus::kUncertain);
     }
-    SECTION("and after the window runs what has no age") {
+    SECTION("and after the reuse window runs keys of unknown age") {
       pass(options.reuse_window, nodes);
       CHECK(status(std::nullopt) == OwnershipStatus::kMayRun);
       CHECK(status(options.reuse_window) == OwnershipStatus::kUncertain);
@@ -87,15 +87,15 @@
     pass(options.reuse_window + options.settling_time, nodes);
     REQUIRE(status(std::nullopt) == OwnershipStatus::kMayRun);
 
-    SECTION("acts on no old view") {
+    SECTION("does not use an expired view") {
       now += options.view_validity + seconds(1);
       CHECK(status(seconds(0)) == OwnershipStatus::kNoValidView);
-      SECTION("and begins anew after a pause") {
+      SECTION("and settles again after a pause") {
         ownership.SetView(nodes, now);
         CHECK(status(seconds(0)) == OwnershipStatus::kSettling);
       }
     }
-    SECTION("runs nothing in a minority") {
+    SECTION("runs nothing in a minority partition") {
       auto view = nodes;
       int suspected = 0;
       for (OwnerNode& node : view) {
@@ -105,7 +105,7 @@
       pass(seconds(1), view);
       CHECK(status(std::nullopt) == OwnershipStatus::kNoValidView);
     }
-    SECTION("does not count those that left in good order") {
+    SECTION("does not count drained nodes for the majority") {
       auto view = nodes;
       for (OwnerNode& node : view) {
         if (node.id != self)
--- a/tests/auto/keys/key_properties_test.cc
+++ b/tests/auto/keys/key_properties_test.cc
@@ -1,4 +1,4 @@
-// A key runs at most once, whatever happens to its owners.
+// Tests that a key runs at most once over random sequences of faults.
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
 
@@ -54,29 +54,29 @@
     RC_ASSERT_FALSE(KeySimulation(OwnershipOptions{}).RunsTwice(events));
   });
 
-  SECTION("over long drawn lists, in which many keys do run") {
+  SECTION("over long random event sequences in which many keys run") {
     const Counts counts = Count(OwnershipOptions{});
     CHECK(counts.runs_twice == 0);
     CHECK(counts.runs > 3000);
   }
 }
 
-// The hole that is left; docs/design/at-most-once.md gives its size.
-TEST_CASE("a node that joins the cut off part of a fleet can run a key again") {
+// Known limitation; docs/design/at-most-once.md gives its probability.
+TEST_CASE("a node that joins a partitioned part of a fleet can rerun a key") {
   const Counts counts = Count(OwnershipOptions{}, JoinPolicy::kAnyTime);
   CHECK(counts.runs_twice > 0);
   CHECK(counts.runs_twice < 20);
 }
 
-TEST_CASE("a key is seen to run twice without") {
+TEST_CASE("a key is found to run twice without") {
   OwnershipOptions options;
-  SECTION("the wait of a new owner") {
+  SECTION("the settling time of a new owner") {
     options.settling_time = base::Duration::zero();
   }
-  SECTION("the end of a view's validity, and the new start after a pause") {
+  SECTION("the expiry of views and the new settling time after a pause") {
     options.view_validity = std::chrono::hours(1);
   }
-  SECTION("the doubt about keys that may be older than the ownership") {
+  SECTION("the check for keys that may be older than the ownership") {
     options.max_transit = -std::chrono::hours(1);
   }
   CHECK(Count(options).runs_twice > 0);
--- a/tests/auto/keys/key_simulation.cc
+++ b/tests/auto/keys/key_simulation.cc
@@ -13,9 +13,8 @@
 
 constexpr int kNodes = 5;
 constexpr milliseconds kTick(500);
-constexpr uint32_t kMaxPropagationMs =
-    1500;                                // Milliseconds until news has spread.
-constexpr uint32_t kSuspicionMs = 1000;  // Before one that is silent is gone.
+constexpr uint32_t kMaxPropagationMs = 1500;  // Of view updates to all nodes.
+constexpr uint32_t kSuspicionMs = 1000;       // From suspicion to removal.
 
 keys::KeyScope ScopeOf(size_t key) {
   return {"dossie", "", std::to_string(key)};
@@ -33,7 +32,7 @@
       node->view[other->id] = OwnerState::kServing;
   }
   UpdateReachability();
-  // Long enough for everyone to own its keys in full.
+  // Long enough for every node to be past its settling time and reuse window.
   for (int i = 0; i < 300; ++i)
     AdvanceTime();
 }
@@ -165,7 +164,7 @@
 void KeySimulation::SendRequest(size_t at, uint32_t pick) {
   Key& key = keys_[at];
   ++uses_;
-  // Any node may be the ingress, also one whose view is old.
+  // Any node may be the ingress, including one with an outdated view.
   const Node& ingress = *nodes_[pick % nodes_.size()];
   std::vector<keys::OwnerNode> view;
   for (const auto& [id, state] : ingress.view)
@@ -178,7 +177,7 @@
   if (pick % 3 != 0)
     age = now_ - key.first_use;
   if (!age && now_ - key.first_use >= options_.reuse_window)
-    return;  // The caller keeps to the window.
+    return;  // Callers do not reuse a key after the reuse window.
   if (!owner->ledger.Contains(ScopeOf(at)) &&
       owner->ownership.StatusOf(key.hash, age, now_).status !=
           keys::OwnershipStatus::kMayRun) {
--- a/tests/auto/keys/key_simulation.h
+++ b/tests/auto/keys/key_simulation.h
@@ -1,5 +1,5 @@
-// Nodes that own idempotency keys, with views of the fleet that spread late,
-// and callers that send the same key again by any of them.
+// Simulates nodes that own idempotency keys, with views of the fleet that
+// propagate with delay, and callers that reuse keys through any node.
 #ifndef KEYS_KEY_SIMULATION_H_
 #define KEYS_KEY_SIMULATION_H_
 
@@ -34,8 +34,8 @@
   uint32_t pick = 0;
 };
 
-// A node that starts while its side is cut off has never heard of the others,
-// so it cannot know that its side is the smaller one.
+// Whether nodes may join during a partition. Such a node does not know the
+// nodes on the other side, so it cannot tell that its side is the minority.
 enum class JoinPolicy { kNotWhilePartitioned, kAnyTime };
 
 class KeySimulation {
@@ -67,7 +67,8 @@
     keys::KeyRecordStore ledger{keys::KeyRecordLimits{}};
     std::map<base::NodeId, keys::OwnerState> view;
   };
-  // What `observer` is going to learn of `subject`; none: that it is gone.
+  // A pending change of the state of `subject` in the view of `observer`.
+  // Without `state`, the subject is removed.
   struct ViewUpdate {
     base::Instant when;
     base::NodeId observer;
@@ -79,7 +80,7 @@
   Node& Add();
   Node* Find(base::NodeId id);
   bool CanReach(const Node& a, const Node& b) const;
-  // Each node learns, a little later, whom it can reach from now on.
+  // Schedules view updates for all changes of reachability between nodes.
   void UpdateReachability();
   void ScheduleViewUpdate(base::NodeId observer,
                           base::NodeId subject,
--- a/tests/auto/keys/keyed_path_test.cc
+++ b/tests/auto/keys/keyed_path_test.cc
@@ -1,4 +1,4 @@
-// Requests with idempotency keys through separate processes.
+// Tests requests with idempotency keys through separate processes.
 #include <catch2/catch.hpp>
 #include <string>
 
@@ -21,7 +21,7 @@
   return std::string(FindHeader(answer.headers, "Chestnutport-Error"));
 }
 
-// Calls, and comes back while the key's owner is not settled, as it is told.
+// Calls until the key's owner has settled.
 net::HttpAnswer CallUntilSettled(const Fleet& fleet,
                                  const Vm& vm,
                                  const std::string& path,
@@ -42,7 +42,7 @@
   REQUIRE(fleet.WaitReady(a, 2, revision));
   REQUIRE(fleet.WaitReady(b, 2, revision));
 
-  // Owners settle first; until then nothing runs.
+  // Nothing runs until the owners have settled.
   int tries = 0;
   net::HttpAnswer first;
   std::string key;
@@ -53,7 +53,7 @@
   }));
   CHECK(fleet.Executions().size() == 1);
 
-  SECTION("is answered from the record, and run once") {
+  SECTION("is answered from the record, and runs once") {
     for (const Vm* vm : {&a, &b}) {
       const auto again =
           CallUntilSettled(fleet, *vm, "/laudo/1", WithKey(key, "9s"));
@@ -67,7 +67,7 @@
         CallUntilSettled(fleet, b, "/laudo/2", WithKey(key, "9s"));
     CHECK(Error(other) == "key-mismatch");
   }
-  SECTION("without its age is unknown to an owner that started lately") {
+  SECTION("without its age is uncertain to a recently started owner") {
     const auto old =
         CallUntilSettled(fleet, b, "/laudo/1", {{"Idempotency-Key", "other"}});
     CHECK(Error(old) == "key-uncertain");
