--- a/src/libs/calls/call.h
+++ b/src/libs/calls/call.h
@@ -1,4 +1,4 @@
-// State machine of one caller's request at its ingress node. Decides when to
+// Controls one caller's request at its ingress node. Decides when to
 // send, query, cancel or retry an attempt, and what the single final answer is.
 // Performs no I/O: takes events and returns the next steps.
 //
--- a/tests/auto/calls/call_test.cc
+++ b/tests/auto/calls/call_test.cc
@@ -19,8 +19,8 @@
 const base::Instant kDeadline = kStart + std::chrono::seconds(2);
 const calls::AttemptEnd kLost = {AttemptVerdict::kLost,
                                  ErrorKind::kConnectionLost};
-const calls::AttemptEnd kOverloaded = {AttemptVerdict::kRefused,
-                                       ErrorKind::kOverloaded};
+const calls::AttemptEnd kRefusedOverloaded = {AttemptVerdict::kRefused,
+                                              ErrorKind::kOverloaded};
 
 Outcome OutcomeOf(const NextSteps& steps) {
   REQUIRE(steps[0].step == Step::kAnswerError);
@@ -101,7 +101,7 @@
 
   SECTION("is cancelled and not answered if its caller disconnects") {
     CHECK(StepsAre(call.OnCallerDisconnected(kStart), {Step::kAbandon}));
-    CHECK(call.OnAttemptEnd(0, kOverloaded, kStart).empty());
+    CHECK(call.OnAttemptEnd(0, kRefusedOverloaded, kStart).empty());
   }
 }
 
@@ -160,8 +160,9 @@
     REQUIRE(StepsAre(call.OnAttemptEnd(0, kLost, kStart),
                      {Step::kCancel, Step::kSend}));
     CHECK(call.OnStatusReply(0, AttemptStatus::kRunning, true, kStart).empty());
-    REQUIRE(StepsAre(call.OnAttemptEnd(1, kOverloaded, kStart), {Step::kSend}));
-    CHECK(OutcomeOf(call.OnAttemptEnd(2, kOverloaded, kStart)) ==
+    REQUIRE(StepsAre(call.OnAttemptEnd(1, kRefusedOverloaded, kStart),
+                     {Step::kSend}));
+    CHECK(OutcomeOf(call.OnAttemptEnd(2, kRefusedOverloaded, kStart)) ==
           Outcome::kUnknown);
   }
 
@@ -181,7 +182,7 @@
       CHECK(steps[1].attempt == 1 - winner);
     }
     SECTION("a refused hedge does not affect the first attempt") {
-      CHECK(call.OnAttemptEnd(1, kOverloaded, due).empty());
+      CHECK(call.OnAttemptEnd(1, kRefusedOverloaded, due).empty());
     }
   }
 
