--- /dev/null
+++ b/src/libs/calls/attempt_status.h
@@ -0,0 +1,19 @@
+// The status of an attempt, as the gate that admits it reports it in reply to
+// a status query or a cancellation (method attempt.settle between nodes).
+#ifndef CALLS_ATTEMPT_STATUS_H_
+#define CALLS_ATTEMPT_STATUS_H_
+
+namespace chestnutport::calls {
+
+enum class AttemptStatus {
+  kNeverRuns,    // Has not run and never will, even if it arrives later.
+  kQueued,       // Waits for a slot of the server.
+  kRunning,      // Was handed to the server.
+  kFinished,     // The server answered, or its connection was lost.
+  kUnknownHere,  // Has not arrived yet, but still may.
+  kNoAnswer,     // The gate could not be reached or did not reply.
+};
+
+}  // namespace chestnutport::calls
+
+#endif  // CALLS_ATTEMPT_STATUS_H_
--- a/src/libs/ingress/attempt_settler.cc
+++ b/src/libs/ingress/attempt_control_client.cc
@@ -1,4 +1,4 @@
-#include "ingress/attempt_settler.h"
+#include "ingress/attempt_control_client.h"
 
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -10,58 +10,59 @@
 namespace chestnutport::ingress {
 namespace {
 
-using calls::SettleAnswer;
+using calls::AttemptStatus;
 
 struct State {
   const char* name;
-  SettleAnswer answer;
+  AttemptStatus answer;
 };
 
-// The names used between nodes.
-constexpr State kStates[] = {{"never-runs", SettleAnswer::kNeverRuns},
-                             {"queued", SettleAnswer::kQueued},
-                             {"running", SettleAnswer::kRunning},
-                             {"finished", SettleAnswer::kFinished},
-                             {"unknown-here", SettleAnswer::kUnknownHere}};
+// Names in messages between nodes.
+constexpr State kStates[] = {{"never-runs", AttemptStatus::kNeverRuns},
+                             {"queued", AttemptStatus::kQueued},
+                             {"running", AttemptStatus::kRunning},
+                             {"finished", AttemptStatus::kFinished},
+                             {"unknown-here", AttemptStatus::kUnknownHere}};
 
-SettleAnswer ReadAnswer(const net::TransferResult& result) {
+AttemptStatus ReadAnswer(const net::TransferResult& result) {
   std::string text;
   std::string error;
   if (result.end != net::TransferEnd::kComplete ||
       !rpc::DecodeAnswer(traffic::kSettleMethod, result.answer.body, &text,
                          &error)) {
-    return SettleAnswer::kNoAnswer;
+    return AttemptStatus::kNoAnswer;
   }
   const auto answer = nlohmann::json::parse(text, nullptr, false);
   if (!answer.is_object() || !answer.contains("state"))
-    return SettleAnswer::kNoAnswer;
+    return AttemptStatus::kNoAnswer;
   for (const State& state : kStates) {
     if (answer["state"] == state.name)
       return state.answer;
   }
-  return SettleAnswer::kNoAnswer;
+  return AttemptStatus::kNoAnswer;
 }
 
 }  // namespace
 
-AttemptSettler::AttemptSettler(net::EventLoop& loop,
-                               control_calls::PeerKeys keys)
+AttemptControlClient::AttemptControlClient(net::EventLoop& loop,
+                                           control_calls::PeerKeys keys)
     : keys_(std::move(keys)), client_(loop, net::HttpClientOptions::Fresh()) {}
 
-void AttemptSettler::Settle(const routing::ServerCandidate& server,
-                            const base::AttemptId& attempt,
-                            Question question,
-                            base::Duration timeout,
-                            Handler handler) {
+void AttemptControlClient::SendCommand(const routing::ServerCandidate& server,
+                                       const base::AttemptId& attempt,
+                                       AttemptCommand command,
+                                       base::Duration timeout,
+                                       Handler handler) {
   wire::PeerRequestHead head;
   head.attempt = attempt;
   head.target = server.node;
   head.remaining = timeout;
   net::HttpRequest request{.method = "POST", .target = traffic::kSettlePath};
   head.AppendTo(request.headers, keys_.current);
-  const nlohmann::json params = {{"attempt", attempt.ToString()},
-                                 {"cancel", question != Question::kAsk},
-                                 {"stop_running", question == Question::kStop}};
+  const nlohmann::json params = {
+      {"attempt", attempt.ToString()},
+      {"cancel", command != AttemptCommand::kQueryStatus},
+      {"stop_running", command == AttemptCommand::kStop}};
   request.body = rpc::EncodeCall(traffic::kSettleMethod, params.dump());
   client_.Send(
       server.peer_address, std::move(request), timeout,
--- a/src/libs/ingress/attempt_sender.cc
+++ b/src/libs/ingress/attempt_sender.cc
@@ -14,28 +14,29 @@
 using calls::AttemptVerdict;
 
 constexpr int kServerError = 500;
-// The call itself watches its deadline; a transfer must not end before it.
+// The call enforces its deadline itself; a transfer must not time out before
+// it.
 constexpr std::chrono::milliseconds kTransferSlack(500);
 
-// Another node answers the opening of a connection within a round trip, and
-// nothing was sent before: another one is tried instead.
+// Connecting to another node takes one round trip. After a time-out nothing was
+// sent yet, so another node can be tried.
 constexpr std::chrono::milliseconds kConnectTimeout(150);
 
-// Bodies from this size on, in bytes, are sent only to a gate that has a place.
-// A round trip between nodes costs a millisecond; 8 kB take 5 ms of a link of
-// 12 Mbit/s, and a request is handed back several times when servers are full.
-constexpr size_t kLeastInquired = 8 * 1024;
-// A gate that has to ask its server first answers within some 20 ms.
+// Minimum body size in bytes for a capacity inquiry before the body is sent. A
+// round trip between nodes takes about 1 ms, while 8 kB take 5 ms on a link of
+// 12 Mbit/s, and a request is returned several times when servers are full.
+constexpr size_t kMinInquiryBytes = 8 * 1024;
+// A gate that first has to probe its server replies within about 20 ms.
 constexpr std::chrono::milliseconds kInquiryTimeout(150);
 
-net::HttpClientOptions PeerConnections() {
+net::HttpClientOptions PeerClientOptions() {
   net::HttpClientOptions options;
   options.connect_timeout = kConnectTimeout;
   return options;
 }
 
-// Said by the owner of the key, who alone knows, or of what no other server
-// may be handed.
+// Errors after which no other server may be tried: those about an idempotency
+// key, for which only its owner is authoritative, and a stopped request.
 bool IsFinal(ErrorKind error) {
   return error == ErrorKind::kRequestStopped || error == ErrorKind::kKeyInUse ||
          error == ErrorKind::kKeyUncertain ||
@@ -58,7 +59,7 @@
   }
   const ErrorKind error = head.error.value_or(ErrorKind::kConnectionLost);
   if (IsFinal(error))
-    return {AttemptVerdict::kEnded, error, head.retry_after};
+    return {AttemptVerdict::kFinalError, error, head.retry_after};
   if (head.outcome == base::Outcome::kNotRun)
     return {AttemptVerdict::kRefused, error, head.retry_after};
   if (head.outcome != base::Outcome::kAnswered)
@@ -74,7 +75,7 @@
     case AttemptVerdict::kFailed:
       return routing::AttemptVerdict::kFailed;
     case AttemptVerdict::kRefused:
-    case AttemptVerdict::kEnded:
+    case AttemptVerdict::kFinalError:
       return routing::AttemptVerdict::kRefused;
     case AttemptVerdict::kNotSent:
     case AttemptVerdict::kLost:
@@ -86,7 +87,7 @@
 }  // namespace
 
 AttemptSender::AttemptSender(net::EventLoop& loop, control_calls::PeerKeys keys)
-    : loop_(loop), keys_(std::move(keys)), client_(loop, PeerConnections()) {}
+    : loop_(loop), keys_(std::move(keys)), client_(loop, PeerClientOptions()) {}
 
 void AttemptSender::Send(ServiceTraffic& service,
                          const routing::ServerCandidate& server,
@@ -101,20 +102,21 @@
   sent.sent_at = now;
   sent.method = request.method;
   sent.handler = std::move(handler);
-  Held held{head, server.peer_address, std::move(request)};
-  if (held.request.body.size() >= kLeastInquired) {
-    sent.held = std::make_unique<Held>(std::move(held));
-    Inquire(sent);
+  PendingRequest pending{head, server.peer_address, std::move(request)};
+  if (pending.request.body.size() >= kMinInquiryBytes) {
+    sent.pending = std::make_unique<PendingRequest>(std::move(pending));
+    InquireCapacity(sent);
   } else {
-    Transmit(sent, std::move(held));
+    Transmit(sent, std::move(pending));
   }
 }
 
-void AttemptSender::Transmit(InFlight& sent, Held held) {
-  const base::AttemptId attempt = held.head.attempt;
-  held.head.AppendTo(held.request.headers, keys_.current);
+void AttemptSender::Transmit(InFlight& sent, PendingRequest pending) {
+  const base::AttemptId attempt = pending.head.attempt;
+  pending.head.AppendTo(pending.request.headers, keys_.current);
   sent.transfer = client_.Stream(
-      held.to, std::move(held.request), held.head.remaining + kTransferSlack,
+      pending.to, std::move(pending.request),
+      pending.head.remaining + kTransferSlack,
       [this, attempt](const net::HttpAnswer& answer) {
         return StartRelay(attempt, answer);
       },
@@ -126,20 +128,20 @@
       });
 }
 
-void AttemptSender::Inquire(InFlight& sent) {
-  const Held& held = *sent.held;
+void AttemptSender::InquireCapacity(InFlight& sent) {
+  const PendingRequest& pending = *sent.pending;
   net::HttpRequest inquiry{.method = "POST", .target = traffic::kInquiryPath};
-  held.head.AppendTo(inquiry.headers, keys_.current);
+  pending.head.AppendTo(inquiry.headers, keys_.current);
   sent.transfer = client_.Send(
-      held.to, std::move(inquiry),
-      std::min<base::Duration>(held.head.remaining, kInquiryTimeout),
-      [this, attempt = held.head.attempt](net::TransferResult result) {
-        OnInquired(attempt, std::move(result));
+      pending.to, std::move(inquiry),
+      std::min<base::Duration>(pending.head.remaining, kInquiryTimeout),
+      [this, attempt = pending.head.attempt](net::TransferResult result) {
+        OnCapacityReply(attempt, std::move(result));
       });
 }
 
-void AttemptSender::OnInquired(const base::AttemptId& attempt,
-                               net::TransferResult result) {
+void AttemptSender::OnCapacityReply(const base::AttemptId& attempt,
+                                    net::TransferResult result) {
   const auto found = in_flight_.find(attempt);
   if (found == in_flight_.end())
     return;
@@ -147,25 +149,26 @@
   const bool is_whole = result.end == net::TransferEnd::kComplete;
   const bool has_place =
       is_whole && result.answer.status == traffic::kPlaceFree;
-  // Nothing of the request was sent, whatever became of the question.
+  // The request itself was not sent, whatever the result of the inquiry.
   if (!is_whole)
     result.end = net::TransferEnd::kNotSent;
   if (!has_place || !sent.handler) {
     OnDone(attempt, std::move(result));
     return;
   }
-  Held held = *std::exchange(sent.held, nullptr);
+  PendingRequest pending = *std::exchange(sent.pending, nullptr);
   const base::Duration waited = loop_.now() - sent.sent_at;
-  held.head.remaining = std::max<base::Duration>(
-      held.head.remaining - waited, wire::PeerRequestHead::kLeastRemaining);
-  if (held.head.target_in) {
-    held.head.target_in =
-        std::max<base::Duration>(*held.head.target_in - waited, {});
+  pending.head.remaining = std::max<base::Duration>(
+      pending.head.remaining - waited, wire::PeerRequestHead::kLeastRemaining);
+  if (pending.head.target_in) {
+    pending.head.target_in =
+        std::max<base::Duration>(*pending.head.target_in - waited, {});
   }
-  // The way of the body is paid for: it is not handed back any more.
-  held.head.may_move = false;
-  held.head.may_move_if_full = false;
-  Transmit(sent, std::move(held));
+  // The gate may no longer return the request, as its body has been
+  // transferred.
+  pending.head.may_move = false;
+  pending.head.may_move_if_full = false;
+  Transmit(sent, std::move(pending));
 }
 
 void AttemptSender::Relay(const base::AttemptId& attempt,
@@ -179,7 +182,7 @@
   InFlight& sent = found->second;
   sent.relay = std::make_unique<traffic::AnswerRelay>(
       client_, sent.transfer, std::move(answer), std::move(reply),
-      [this, attempt] { GiveUp(attempt); });
+      [this, attempt] { CancelStream(attempt); });
 }
 
 bool AttemptSender::StartRelay(const base::AttemptId& attempt,
@@ -191,7 +194,7 @@
   const calls::AttemptEnd end =
       ReadEnd({.end = net::TransferEnd::kComplete, .answer = head},
               wire::PeerAnswerHead::Read(head.headers));
-  // Another server may still do better than a failure.
+  // A failure is not relayed yet: a retry at another server may succeed.
   if (end.verdict != AttemptVerdict::kAnswered)
     return false;
   found->second.is_streamed = true;
@@ -200,7 +203,7 @@
     handler(end, head);
   const auto still = in_flight_.find(attempt);
   if (still != in_flight_.end() && !still->second.relay)
-    GiveUp(attempt);
+    CancelStream(attempt);
   return true;
 }
 
@@ -211,7 +214,7 @@
          found->second.relay->Write(part);
 }
 
-void AttemptSender::GiveUp(const base::AttemptId& attempt) {
+void AttemptSender::CancelStream(const base::AttemptId& attempt) {
   const auto given_up = in_flight_.extract(attempt);
   if (given_up.empty())
     return;
@@ -255,7 +258,8 @@
                             end.verdict != AttemptVerdict::kAnswered;
   auto verdict = is_cancelled ? routing::AttemptVerdict::kCancelled
                               : ToRouting(end.verdict);
-  // Failed by another service, which any server of this one would be.
+  // The request failed because of a nested call to another service, as it would
+  // at any server of this service.
   const bool has_failed_call =
       !net::FindHeader(result.answer.headers, wire::kCallFailedHeader).empty();
   if (verdict == routing::AttemptVerdict::kFailed && has_failed_call)
--- a/src/libs/ingress/caller_request.cc
+++ b/src/libs/ingress/caller_request.cc
@@ -13,7 +13,7 @@
 
 using base::ErrorKind;
 
-// Headers that a caller has no say in, or that are written anew.
+// Headers that callers may not set, or that are replaced.
 constexpr const char* kNodeOnlyHeaders[] = {
     wire::kAttemptHeader,     wire::kTargetHeader,        wire::kServiceHeader,
     wire::kSignatureHeader,   wire::kLoadHeader,          wire::kDeadlineHeader,
@@ -23,7 +23,7 @@
     wire::kRetryLevelHeader,  wire::kAttemptNumberHeader, wire::kKeyAgeHeader,
     "Content-Length"};
 
-constexpr size_t kLongestKey = 200;
+constexpr size_t kMaxKeyLength = 200;
 
 std::string_view PathOf(std::string_view target) {
   return target.substr(0, target.find('?'));
@@ -37,12 +37,13 @@
   return level;
 }
 
-// An attempt to do this may be given up halfway without harm.
+// Whether a request with this method may be interrupted without harm.
 bool IsSafe(std::string_view method) {
   return method == "GET" || method == "HEAD" || method == "OPTIONS";
 }
 
-// Nothing if the caller's deadline makes no sense.
+// Returns the time until the deadline, or nullopt if the caller's deadline is
+// invalid.
 std::optional<base::Duration> ReadRemaining(
     const net::HttpHeaders& headers,
     const declarations::ServiceDeclaration& declaration) {
@@ -84,7 +85,7 @@
   read.retry_level = ReadLevel(request.headers, wire::kRetryLevelHeader);
   const std::string_view key =
       net::FindHeader(request.headers, wire::kIdempotencyKeyHeader);
-  if (key.size() > kLongestKey)
+  if (key.size() > kMaxKeyLength)
     return base::make_error_code(ErrorKind::kMalformedRequest);
   if (!read.is_repeatable)
     read.idempotency_key = key;
--- a/src/libs/ingress/service_traffic.cc
+++ b/src/libs/ingress/service_traffic.cc
@@ -7,13 +7,13 @@
 
 constexpr double kRetryBurst = 20;
 constexpr double kHedgeBurst = 5;
-// A refused attempt cost its server nothing, so its share is larger.
+// Larger than for retries, because a refused attempt costs its server nothing.
 constexpr double kRefusalShare = 0.2;
 constexpr double kRefusalBurst = 20;
-// Of the target latency, after which a second try starts.
-constexpr int kHedgePart = 2;
-constexpr double kQuestionShare = 0.05;
-constexpr double kQuestionBurst = 50;
+// A hedge starts after the target latency divided by this.
+constexpr int kHedgeDivisor = 2;
+constexpr double kQueryShare = 0.05;
+constexpr double kQueryBurst = 50;
 
 }  // namespace
 
@@ -24,7 +24,7 @@
       retries_(0, kRetryBurst),
       hedges_(0, kHedgeBurst),
       refusals_(kRefusalShare, kRefusalBurst),
-      questions_(kQuestionShare, kQuestionBurst) {}
+      status_queries_(kQueryShare, kQueryBurst) {}
 
 void ServiceTraffic::SetDeclaration(
     const declarations::ServiceDeclaration& declaration) {
@@ -45,20 +45,20 @@
   calls::CallPolicy policy;
   policy.is_repeatable = request.is_repeatable;
   policy.is_retried_above = request.retry_level.has_value();
-  policy.is_bound_to_server = !request.idempotency_key.empty();
+  policy.is_pinned_to_server = !request.idempotency_key.empty();
   timing_.Apply(hedge_budget_, policy);
-  // Half of the target is left to the second try; the quantile would come too
-  // late where the work varies more than the target allows.
+  // Leaves half of the target to the hedge. The latency quantile would be too
+  // late if the work varies more than the target allows.
   if (hedge_budget_ > 0 && request.target_latency > base::Duration::zero())
-    policy.hedge_delay = request.target_latency / kHedgePart;
+    policy.hedge_delay = request.target_latency / kHedgeDivisor;
   policy.max_servers = request.max_servers;
-  policy.most_sends = request.max_servers + request.moves.if_poor;
-  policy.server_refusals_count = has_fleet_limit_;
+  policy.max_sends = request.max_servers + request.moves.if_degraded;
+  policy.counts_server_refusals = has_fleet_limit_;
   return policy;
 }
 
 calls::CallBudgets ServiceTraffic::Budgets() {
-  return {retries_, node_retries_, hedges_, refusals_, questions_};
+  return {retries_, node_retries_, hedges_, refusals_, status_queries_};
 }
 
 }  // namespace chestnutport::ingress
--- a/src/libs/ingress/service_traffic.h
+++ b/src/libs/ingress/service_traffic.h
@@ -1,10 +1,10 @@
-// What the ingress thread keeps for a service across snapshots.
+// State of a service on the ingress thread that is kept across snapshots.
 #ifndef INGRESS_SERVICE_TRAFFIC_H_
 #define INGRESS_SERVICE_TRAFFIC_H_
 
+#include "calls/adaptive_timeouts.h"
 #include "calls/call_policy.h"
-#include "calls/fleet_retries.h"
-#include "calls/latency_timing.h"
+#include "calls/fleet_retry_limit.h"
 #include "calls/retry_budget.h"
 #include "declarations/service_declaration.h"
 #include "ingress/caller_request.h"
@@ -20,16 +20,16 @@
                  calls::RetryBudget& node_retries);
 
   void SetDeclaration(const declarations::ServiceDeclaration& declaration);
-  // From now on second attempts are bounded by this node's part of what the
-  // fleet may spend, in place of the declaration's.
+  // From now on limits retries and hedges by this node's share of the
+  // fleet-wide limit instead of by the declaration.
   void SetRetryLimit(const calls::NodeRetryLimit& limit);
 
-  // The policy of a call that begins now.
+  // Returns the policy of a call that begins now.
   calls::CallPolicy Policy(const CallerRequest& request);
   calls::CallBudgets Budgets();
 
   routing::ServerChooser& chooser() { return chooser_; }
-  calls::LatencyTiming& timing() { return timing_; }
+  calls::AdaptiveTimeouts& timing() { return timing_; }
 
  private:
   routing::ServerChooser chooser_;
@@ -37,8 +37,8 @@
   calls::RetryBudget retries_;
   calls::RetryBudget hedges_;
   calls::RetryBudget refusals_;
-  calls::RetryBudget questions_;
-  calls::LatencyTiming timing_;
+  calls::RetryBudget status_queries_;
+  calls::AdaptiveTimeouts timing_;
   double hedge_budget_ = 0;
   bool has_fleet_limit_ = false;
 };
--- a/src/libs/node/control_plane_publishing.cc
+++ b/src/libs/node/control_plane_publishing.cc
@@ -92,10 +92,10 @@
     // Uses the maximum number of members seen, so that a partitioned node does
     // not take the other nodes' share of the fleet's retry budget.
     max_members_seen_ = std::max(max_members_seen_, members_.size());
-    snapshot.retries =
-        calls::PartOfFleet({settings_.fleet_retry_share,
-                            static_cast<double>(settings_.fleet_retry_burst)},
-                           max_members_seen_);
+    snapshot.retries = calls::PerNodeRetryLimit(
+        {settings_.fleet_retry_share,
+         static_cast<double>(settings_.fleet_retry_burst)},
+        max_members_seen_);
   }
   outputs_.publish_snapshot(std::move(snapshot));
 }
--- a/tests/auto/calls/call_properties_test.cc
+++ b/tests/auto/calls/call_properties_test.cc
@@ -1,20 +1,20 @@
-// What holds of calls and admission together, whatever happens between them.
+// Tests invariants of calls and admission together over random event sequences.
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
 
 #include "base/random.h"
-#include "hostile_world.h"
+#include "call_simulation.h"
 
 namespace chestnutport::test {
 namespace {
 
 constexpr int kKinds = static_cast<int>(EventKind::kCount);
 
-// Deliveries are drawn more often than faults, so that calls get somewhere.
+// Deliveries are drawn more often than faults, so that calls make progress.
 EventKind KindOf(int drawn) {
   if (drawn < kKinds)
     return static_cast<EventKind>(drawn);
-  return drawn % 4 == 0 ? EventKind::kTimePasses : EventKind::kDeliver;
+  return drawn % 4 == 0 ? EventKind::kAdvanceTime : EventKind::kDeliver;
 }
 
 std::vector<Event> DrawEvents(base::Random& random) {
@@ -26,17 +26,17 @@
   return events;
 }
 
-// How many of the drawn lists of events show what `found` looks for.
+// Returns the number of random event sequences for which `found` holds.
 template <typename Found>
-int CountFound(Defect defect, Found found) {
+int CountRunsWith(Defect defect, Found found) {
   base::Random random(7);
   int count = 0;
   for (int i = 0; i < 10000; ++i)
-    count += found(HostileWorld(defect).Run(DrawEvents(random))) ? 1 : 0;
+    count += found(CallSimulation(defect).Run(DrawEvents(random))) ? 1 : 0;
   return count;
 }
 
-TEST_CASE("calls and admission keep their promises") {
+TEST_CASE("calls and admission keep their invariants") {
   rc::prop("over any order of events", [] {
     const auto event = rc::gen::apply(
         [](int kind, uint32_t pick) {
@@ -44,45 +44,48 @@
         },
         rc::gen::inRange(0, 2 * kKinds), rc::gen::arbitrary<uint32_t>());
     const auto events = *rc::gen::container<std::vector<Event>>(event);
-    const Findings findings = HostileWorld(Defect::kNone).Run(events);
-    RC_ASSERT_FALSE(findings.ran_twice);
-    RC_ASSERT_FALSE(findings.false_not_run);
-    RC_ASSERT_FALSE(findings.not_one_answer);
-    RC_ASSERT_FALSE(findings.another_ones_answer);
+    const Violations violations = CallSimulation(Defect::kNone).Run(events);
+    RC_ASSERT_FALSE(violations.ran_twice);
+    RC_ASSERT_FALSE(violations.false_not_run);
+    RC_ASSERT_FALSE(violations.wrong_answer_count);
+    RC_ASSERT_FALSE(violations.misrouted_answer);
   });
 
-  SECTION("over long drawn lists") {
-    CHECK(CountFound(Defect::kNone, std::mem_fn(&Findings::Any)) == 0);
+  SECTION("over long random event sequences") {
+    CHECK(CountRunsWith(Defect::kNone, std::mem_fn(&Violations::Any)) == 0);
   }
 }
 
-TEST_CASE("each promise is seen to be broken where the code is") {
-  SECTION("a bar that is not kept") {
-    CHECK(CountFound(Defect::kBarNotKept,
-                     [](const Findings& f) { return f.ran_twice; }) > 0);
-    CHECK(CountFound(Defect::kBarNotKept,
-                     [](const Findings& f) { return f.false_not_run; }) > 0);
-  }
-  SECTION("a replaced node taken for one that never ran it") {
-    CHECK(CountFound(Defect::kStaleMeansNotRun, [](const Findings& f) {
-            return f.ran_twice || f.false_not_run;
+TEST_CASE("a defect that breaks an invariant is detected") {
+  SECTION("a confirmed cancellation that is not remembered") {
+    CHECK(CountRunsWith(Defect::kCancelForgotten,
+                        [](const Violations& f) { return f.ran_twice; }) > 0);
+    CHECK(CountRunsWith(Defect::kCancelForgotten, [](const Violations& f) {
+            return f.false_not_run;
           }) > 0);
   }
-  SECTION("a lost connection taken for one never opened") {
-    CHECK(CountFound(Defect::kLostMeansNotSent,
-                     [](const Findings& f) { return f.ran_twice; }) > 0);
+  SECTION("a stale target reported as an attempt that never ran") {
+    CHECK(
+        CountRunsWith(Defect::kStaleTargetMeansNotRun, [](const Violations& f) {
+          return f.ran_twice || f.false_not_run;
+        }) > 0);
+  }
+  SECTION("a lost connection reported as one never opened") {
+    CHECK(CountRunsWith(Defect::kLostMeansNotOpened,
+                        [](const Violations& f) { return f.ran_twice; }) > 0);
   }
-  SECTION("an answer that came by another connection") {
-    CHECK(CountFound(Defect::kCopyAnswers,
-                     [](const Findings& f) { return f.ran_twice; }) > 0);
+  SECTION("a duplicate answer on another connection") {
+    CHECK(CountRunsWith(Defect::kAcceptsDuplicates,
+                        [](const Violations& f) { return f.ran_twice; }) > 0);
   }
   SECTION("a second answer at the deadline") {
-    CHECK(CountFound(Defect::kAnswersAtDeadline,
-                     [](const Findings& f) { return f.not_one_answer; }) > 0);
+    CHECK(CountRunsWith(Defect::kAnswersAtDeadline, [](const Violations& f) {
+            return f.wrong_answer_count;
+          }) > 0);
   }
-  SECTION("answers matched by their place in the link") {
-    CHECK(CountFound(Defect::kAnswersMixed, [](const Findings& f) {
-            return f.another_ones_answer;
+  SECTION("answers matched by their position in the link") {
+    CHECK(CountRunsWith(Defect::kAnswersMisrouted, [](const Violations& f) {
+            return f.misrouted_answer;
           }) > 0);
   }
 }
--- a/tests/benchmarks/decisions/ingress_run.h
+++ b/tests/benchmarks/decisions/ingress_run.h
@@ -1,4 +1,4 @@
-// One life of the ingress of a node: what it keeps for each service.
+// State of one incarnation of a simulated ingress, for each service.
 #ifndef DECISIONS_INGRESS_RUN_H_
 #define DECISIONS_INGRESS_RUN_H_
 
@@ -6,28 +6,28 @@
 #include <vector>
 
 #include "base/random.h"
+#include "calls/adaptive_timeouts.h"
 #include "calls/call_policy.h"
-#include "calls/latency_timing.h"
 #include "calls/retry_budget.h"
 #include "decisions/choosing_policy.h"
 
 namespace chestnutport::bench {
 
-// As a declaration may say.
+// Typical values of a service declaration.
 inline constexpr double kRetryShare = 0.1;
 inline constexpr double kHedgeShare = 0.02;
 
-// The budgets of ingress/service_traffic.cc.
+// The budgets correspond to those in ingress/service_traffic.cc.
 template <ChoosingPolicy Policy>
 struct ServiceRun {
-  explicit ServiceRun(const PolicyPlace& place) : policy(place) {}
+  explicit ServiceRun(const PolicyContext& context) : policy(context) {}
 
   Policy policy;
-  calls::LatencyTiming timing;
+  calls::AdaptiveTimeouts timing;
   calls::RetryBudget retries{kRetryShare, 20};
   calls::RetryBudget hedges{kHedgeShare, 5};
   calls::RetryBudget refusals{0.2, 20};
-  calls::RetryBudget questions{0.05, 50};
+  calls::RetryBudget status_queries{0.05, 50};
 };
 
 template <ChoosingPolicy Policy>
@@ -41,7 +41,8 @@
 
   calls::CallBudgets Budgets(int service) {
     ServiceRun<Policy>& run = *services[service];
-    return {run.retries, node_retries, run.hedges, run.refusals, run.questions};
+    return {run.retries, node_retries, run.hedges, run.refusals,
+            run.status_queries};
   }
 };
 
