--- a/src/libs/admission/admission_controller.cc
+++ b/src/libs/admission/admission_controller.cc
@@ -30,14 +30,14 @@
       ledger_(options.ledger),
       queue_(options.shares),
       limit_(options.slots),
-      cold_(options.cold) {
-  limit_.set_cold_ramp(options.cold_start);
+      cold_limiter_(options.cold) {
+  limit_.set_warm_up_time(options.cold_start);
 }
 
 void AdmissionController::set_options(const AdmissionOptions& options) {
   limit_.SetSlots(options.slots);
-  limit_.set_cold_ramp(options.cold_start);
-  cold_.set_options(options.cold);
+  limit_.set_warm_up_time(options.cold_start);
+  cold_limiter_.set_options(options.cold);
   if (options.shares != options_.shares)
     queue_.SetShares(options.shares);
   options_ = options;
@@ -52,49 +52,50 @@
   if (known != AttemptState::kUnknown || !ledger_.IsNew(attempt, now))
     return {{ActionKind::kRefuse, attempt, ErrorKind::kDuplicateAttempt, {}}};
   const QueuedAttempt waiting{
-      attempt, queue_.Flow(arrival.traffic_class, arrival.tenant),
+      attempt, queue_.FlowFor(arrival.traffic_class, arrival.tenant),
       arrival.deadline, arrival.target, arrival.may_stop};
-  if (const auto refusal = RefusalOf(waiting, now))
+  if (const auto refusal = FindRefusal(waiting, now))
     return {Refuse(attempt, *refusal, now)};
-  if (HasRoomFor(waiting.flow, now))
+  if (HasCapacityFor(waiting.flow, now))
     return {Start(waiting, now)};
   return Enqueue(waiting, now);
 }
 
-std::optional<AdmissionAction> AdmissionController::Judge(
+std::optional<AdmissionAction> AdmissionController::CheckRefusal(
     const Arrival& arrival,
     Instant now) {
   const QueuedAttempt waiting{
-      arrival.attempt, queue_.Flow(arrival.traffic_class, arrival.tenant),
+      arrival.attempt, queue_.FlowFor(arrival.traffic_class, arrival.tenant),
       arrival.deadline, arrival.target, arrival.may_stop};
-  const auto refusal = RefusalOf(waiting, now);
+  const auto refusal = FindRefusal(waiting, now);
   if (!refusal)
     return std::nullopt;
   return AdmissionAction{ActionKind::kRefuse, arrival.attempt, *refusal,
                          RetryAfter(*refusal, now)};
 }
 
-std::optional<ErrorKind> AdmissionController::RefusalOf(
+std::optional<ErrorKind> AdmissionController::FindRefusal(
     const QueuedAttempt& waiting,
     Instant now) const {
   if (draining_)
     return ErrorKind::kDraining;
   if (waiting.deadline <= now)
     return ErrorKind::kDeadlineTooClose;
-  if (HasRoomFor(waiting.flow, now))
+  if (HasCapacityFor(waiting.flow, now))
     return std::nullopt;
-  const bool is_limited = cold_.IsLimited(now);
-  if (waiting.target && !KnowsServiceTime() && !is_limited)
+  const bool is_limited = cold_limiter_.IsLimited(now);
+  if (waiting.target && !HasServiceTimeEstimate() && !is_limited)
     return ErrorKind::kOverloaded;
-  const Duration wait = DrainTime(queue_.Ahead(waiting.flow) + 1,
-                                  queue_.RankOf(waiting.flow), now);
-  if (!HasTimeFor(waiting, now + wait))
+  const Duration wait = EstimateWait(queue_.RequestsAhead(waiting.flow) + 1,
+                                     queue_.RankOf(waiting.flow), now);
+  if (!CanMeetDeadline(waiting, now + wait))
     return ErrorKind::kDeadlineTooClose;
   // What would be served late only makes others late: it is told at once, and
   // its caller may come back when there is room.
   const int work_kept = is_limited ? 1 : kWorkKept;
   if (waiting.target &&
-      now + wait + work_kept * UsualWork(waiting.flow) > *waiting.target)
+      now + wait + work_kept * ExpectedServiceTime(waiting.flow) >
+          *waiting.target)
     return ErrorKind::kOverloaded;
   return std::nullopt;
 }
@@ -113,7 +114,7 @@
   const Running ended = found->second;
   const int in_flight = static_cast<int>(running_.size());
   running_.erase(found);
-  progress_at_ = now;
+  last_progress_at_ = now;
   const bool ran =
       result == ServerResult::kAnswered || result == ServerResult::kUncertain;
   ledger_.Set(attempt, ran ? AttemptState::kFinished : AttemptState::kNeverRuns,
@@ -125,7 +126,7 @@
     limit_.OnShed(in_flight, now);
   }
   AdmissionActions actions;
-  StartWaiting(actions, now);
+  StartQueued(actions, now);
   return actions;
 }
 
@@ -153,7 +154,7 @@
     actions.push_back(
         Refuse(expired->attempt, ErrorKind::kDeadlineTooClose, now));
   }
-  StartWaiting(actions, now);
+  StartQueued(actions, now);
   ledger_.Expire(now);
   return actions;
 }
@@ -167,8 +168,8 @@
 }
 
 void AdmissionController::OnServerStarted(Instant now) {
-  limit_.StartCold(now);
-  cold_.OnServerStarted(now);
+  limit_.StartWarmUp(now);
+  cold_limiter_.OnServerStarted(now);
 }
 
 wire::LoadReport AdmissionController::Load(Instant now) const {
@@ -176,7 +177,7 @@
   wire::LoadReport report{
       static_cast<int>(running_.size()), Limit(now), queued, {}};
   if (queued > 0 || !MayStart(0, now))
-    report.expected_wait = DrainTime(queued + 1, 0, now);
+    report.expected_wait = EstimateWait(queued + 1, 0, now);
   return report;
 }
 
@@ -190,19 +191,19 @@
 Duration AdmissionController::RetryAfter(ErrorKind error, Instant now) const {
   const bool is_full =
       error == ErrorKind::kOverloaded || error == ErrorKind::kDeadlineTooClose;
-  if (is_full && (KnowsServiceTime() || cold_.IsLimited(now)))
-    return std::max(DrainTime(Queued() + 1, 0, now), kLeastWait);
+  if (is_full && (HasServiceTimeEstimate() || cold_limiter_.IsLimited(now)))
+    return std::max(EstimateWait(Queued() + 1, 0, now), kLeastWait);
   return base::AnswerTo(error).retry_after;
 }
 
 AdmissionAction AdmissionController::Start(const QueuedAttempt& attempt,
                                            Instant now) {
   ledger_.Set(attempt.attempt, AttemptState::kRunning, now);
-  progress_at_ = now;
+  last_progress_at_ = now;
   Running& running = running_[attempt.attempt];
   running = {attempt.flow, now, attempt.deadline, false};
   running.at_limit = !HasFreeSlot(now);
-  cold_.OnStarted(now);
+  cold_limiter_.ConsumeToken(now);
   return {ActionKind::kStart, attempt.attempt, ErrorKind::kInternal, {}};
 }
 
@@ -216,15 +217,15 @@
   return {Refuse(least_fair->attempt, ErrorKind::kOverloaded, now)};
 }
 
-void AdmissionController::StartWaiting(AdmissionActions& actions, Instant now) {
+void AdmissionController::StartQueued(AdmissionActions& actions, Instant now) {
   while (queue_.size() > 0 && HasFreeSlot(now)) {
-    const auto next = queue_.Pop(cold_.RankAllowed(now));
+    const auto next = queue_.Pop(cold_limiter_.LeastUrgentRankAllowed(now));
     if (!next)
       return;
     // Others that wait can still be served in time.
     const bool is_late = next->target && queue_.size() > 0 &&
-                         now + UsualWork(next->flow) > *next->target;
-    if (!HasTimeFor(*next, now) || is_late) {
+                         now + ExpectedServiceTime(next->flow) > *next->target;
+    if (!CanMeetDeadline(*next, now) || is_late) {
       actions.push_back(
           Refuse(next->attempt, ErrorKind::kDeadlineTooClose, now));
     } else {
@@ -234,13 +235,14 @@
 }
 
 bool AdmissionController::MayStart(int rank, Instant now) const {
-  return HasFreeSlot(now) && cold_.MayStart(rank, now);
+  return HasFreeSlot(now) && cold_limiter_.MayStart(rank, now);
 }
 
-bool AdmissionController::HasRoomFor(FlowId flow, Instant now) const {
+bool AdmissionController::HasCapacityFor(FlowId flow, Instant now) const {
   const int rank = queue_.RankOf(flow);
-  const bool is_next =
-      cold_.IsLimited(now) ? !queue_.HasUpTo(rank) : queue_.size() == 0;
+  const bool is_next = cold_limiter_.IsLimited(now)
+                           ? !queue_.HasQueuedUpTo(rank)
+                           : queue_.size() == 0;
   return is_next && MayStart(rank, now);
 }
 
@@ -252,12 +254,12 @@
   return options_.adaptive ? limit_.Limit(now) : options_.slots;
 }
 
-Duration AdmissionController::UsualWork(FlowId flow) const {
-  return queue_.ServiceTime(flow).value_or(limit_.service_time());
+Duration AdmissionController::ExpectedServiceTime(FlowId flow) const {
+  return queue_.MeanServiceTime(flow).value_or(limit_.service_time());
 }
 
-bool AdmissionController::HasTimeFor(const QueuedAttempt& attempt,
-                                     Instant start) const {
+bool AdmissionController::CanMeetDeadline(const QueuedAttempt& attempt,
+                                          Instant start) const {
   if (start >= attempt.deadline || attempt.may_stop)
     return start < attempt.deadline;
   const Duration work =
@@ -265,20 +267,21 @@
   return start + work + work / kSpreadPart <= attempt.deadline;
 }
 
-bool AdmissionController::KnowsServiceTime() const {
+bool AdmissionController::HasServiceTimeEstimate() const {
   return limit_.served() >= options_.slots;
 }
 
-Duration AdmissionController::DrainTime(double requests,
-                                        int rank,
-                                        Instant now) const {
+Duration AdmissionController::EstimateWait(double requests,
+                                           int rank,
+                                           Instant now) const {
   const auto each = std::chrono::duration<double>(limit_.service_time());
   const auto expected =
       std::chrono::duration_cast<Duration>(each * requests / Limit(now));
   // A server on which nothing moved for a while may need as long again.
   const Duration stuck =
-      HasFreeSlot(now) ? Duration() : Duration(now - progress_at_);
-  return std::max({expected, stuck, cold_.Wait(requests, rank, now)});
+      HasFreeSlot(now) ? Duration() : Duration(now - last_progress_at_);
+  return std::max(
+      {expected, stuck, cold_limiter_.TimeUntilAllowed(requests, rank, now)});
 }
 
 }  // namespace chestnutport::admission
--- a/src/libs/admission/admission_controller.h
+++ b/src/libs/admission/admission_controller.h
@@ -11,7 +11,7 @@
 #include "admission/arrival.h"
 #include "admission/attempt_ledger.h"
 #include "admission/attempt_state.h"
-#include "admission/cold_limit.h"
+#include "admission/cold_start_limiter.h"
 #include "admission/concurrency_limit.h"
 #include "admission/fair_queue.h"
 #include "admission/server_result.h"
@@ -25,7 +25,7 @@
   int slots = 12;               // Requests that the server runs at a time.
   int queue = 24;               // Requests that may wait.
   base::Duration cold_start{};  // Until a server that started is warm.
-  ColdOptions cold;             // What it is given until then.
+  ColdStartOptions cold;        // What it is given until then.
   TrafficShares shares;
   LedgerLimits ledger;  // Taken at construction only.
   // False: as many as the slots are given to the server, whatever is measured.
@@ -43,8 +43,8 @@
   AdmissionActions Arrive(const Arrival& arrival, base::Instant now);
   // What Arrive() would refuse at this moment; nothing: it would be let in. The
   // attempt stays unknown.
-  std::optional<AdmissionAction> Judge(const Arrival& arrival,
-                                       base::Instant now);
+  std::optional<AdmissionAction> CheckRefusal(const Arrival& arrival,
+                                              base::Instant now);
   // Whether an attempt that was to start may still be sent at `now`, a fresh
   // reading of the clock. If not, it is to be finished as kNotSent.
   bool MaySend(const base::AttemptId& attempt, base::Instant now) const;
@@ -68,13 +68,13 @@
   // Another server, or another life of it, is there from now on.
   void OnServerStarted(base::Instant now);
   // A probe was handed to the server, which costs it as much as a request.
-  void OnProbed(base::Instant now) { cold_.OnStarted(now); }
+  void OnProbed(base::Instant now) { cold_limiter_.ConsumeToken(now); }
   // What the server says of how long it stays cold.
-  ColdLimit& cold() { return cold_; }
-  const ColdLimit& cold() const { return cold_; }
+  ColdStartLimiter& cold_limiter() { return cold_limiter_; }
+  const ColdStartLimiter& cold_limiter() const { return cold_limiter_; }
 
   // Whether an attempt that arrives now would start at once, if it is urgent.
-  bool HasRoom(base::Instant now) const {
+  bool HasCapacity(base::Instant now) const {
     return queue_.size() == 0 && MayStart(0, now);
   }
   wire::LoadReport Load(base::Instant now) const;
@@ -90,46 +90,48 @@
   };
 
   // Nothing: it may run or wait.
-  std::optional<base::ErrorKind> RefusalOf(const QueuedAttempt& waiting,
-                                           base::Instant now) const;
+  std::optional<base::ErrorKind> FindRefusal(const QueuedAttempt& waiting,
+                                             base::Instant now) const;
   base::Duration RetryAfter(base::ErrorKind error, base::Instant now) const;
   AdmissionAction Refuse(const base::AttemptId& attempt,
                          base::ErrorKind error,
                          base::Instant now);
   AdmissionAction Start(const QueuedAttempt& attempt, base::Instant now);
   AdmissionActions Enqueue(const QueuedAttempt& attempt, base::Instant now);
-  void StartWaiting(AdmissionActions& actions, base::Instant now);
+  void StartQueued(AdmissionActions& actions, base::Instant now);
   // Whether one more may run beside those that run, and may start now.
   bool MayStart(int rank, base::Instant now) const;
   // The same for an attempt that arrives now, after those that wait.
-  bool HasRoomFor(FlowId flow, base::Instant now) const;
+  bool HasCapacityFor(FlowId flow, base::Instant now) const;
   bool HasFreeSlot(base::Instant now) const;
   int Limit(base::Instant now) const;
   int Queued() const { return static_cast<int>(queue_.size()); }
   // What requests of a flow take as a rule. Not the server's mean: short ones
   // would be held for late beside long ones, and refused for it.
-  base::Duration UsualWork(FlowId flow) const;
+  base::Duration ExpectedServiceTime(FlowId flow) const;
   // Whether what waited may start at `start`. What may not be stopped halfway
   // has to be done by its deadline, as its flow goes of late: else its caller
   // would hear "unknown" of what was in vain. What finds room as it arrives is
   // tried in any case, so that a server which is well again is found out.
-  bool HasTimeFor(const QueuedAttempt& attempt, base::Instant start) const;
+  bool CanMeetDeadline(const QueuedAttempt& attempt, base::Instant start) const;
   // False until the server has answered as many as it runs at a time. Its first
   // answers are those of short requests, and where all servers have just
   // started what waits by them is refused after hundreds of milliseconds in the
   // queue.
-  bool KnowsServiceTime() const;
+  bool HasServiceTimeEstimate() const;
   // The time in which `requests` get through, the last of that rank.
-  base::Duration DrainTime(double requests, int rank, base::Instant now) const;
+  base::Duration EstimateWait(double requests,
+                              int rank,
+                              base::Instant now) const;
 
   AdmissionOptions options_;
   bool draining_ = false;
   AttemptLedger ledger_;
   FairQueue queue_;
   ConcurrencyLimit limit_;
-  ColdLimit cold_;
+  ColdStartLimiter cold_limiter_;
   absl::flat_hash_map<base::AttemptId, Running> running_;
-  base::Instant progress_at_;  // When an attempt last started or ended.
+  base::Instant last_progress_at_;  // When an attempt last started or ended.
 };
 
 }  // namespace chestnutport::admission
--- a/src/libs/admission/attempt_ledger.cc
+++ b/src/libs/admission/attempt_ledger.cc
@@ -16,13 +16,13 @@
   auto found = origins_.find(attempt.origin);
   if (found == origins_.end()) {
     if (origins_.size() >= limits_.origins)
-      ForgetQuietOrigins(now);
+      ExpireIdleOrigins(now);
     if (origins_.size() >= limits_.origins)
       return false;
     found = origins_.try_emplace(attempt.origin).first;
   }
   found->second.last_seen = now;
-  return attempt.sequence > found->second.dropped_through;
+  return attempt.sequence > found->second.highest_dropped_sequence;
 }
 
 void AttemptLedger::Set(const AttemptId& attempt,
@@ -31,30 +31,31 @@
   records_[attempt] = state;
   if (state == AttemptState::kQueued || state == AttemptState::kRunning)
     return;
-  ends_.push_back({attempt, now});
-  if (ends_.size() > limits_.ends)
+  finished_.push_back({attempt, now});
+  if (finished_.size() > limits_.max_finished)
     DropOldest();
 }
 
 void AttemptLedger::Expire(Instant now) {
-  while (!ends_.empty() && ends_.front().since + limits_.memory < now)
+  while (!finished_.empty() &&
+         finished_.front().since + limits_.retention < now)
     DropOldest();
 }
 
 void AttemptLedger::DropOldest() {
-  const AttemptId attempt = ends_.front().attempt;
-  ends_.pop_front();
+  const AttemptId attempt = finished_.front().attempt;
+  finished_.pop_front();
   records_.erase(attempt);
   const auto found = origins_.find(attempt.origin);
   if (found == origins_.end())
     return;
-  uint64_t& mark = found->second.dropped_through;
+  uint64_t& mark = found->second.highest_dropped_sequence;
   mark = std::max(mark, attempt.sequence);
 }
 
-void AttemptLedger::ForgetQuietOrigins(Instant now) {
+void AttemptLedger::ExpireIdleOrigins(Instant now) {
   absl::erase_if(origins_, [&](const auto& entry) {
-    return entry.second.last_seen + limits_.origin_memory < now;
+    return entry.second.last_seen + limits_.origin_retention < now;
   });
 }
 
--- a/src/libs/admission/attempt_ledger.h
+++ b/src/libs/admission/attempt_ledger.h
@@ -21,10 +21,11 @@
 
 struct LedgerLimits {
   // How long an end is remembered by a record of its own.
-  base::Duration memory = std::chrono::minutes(2);
-  size_t ends = 65536;  // Records of ends; the oldest are dropped above it.
+  base::Duration retention = std::chrono::minutes(2);
+  size_t max_finished =
+      65536;  // Records of ends; the oldest are dropped above it.
   // How long the mark of an origin that went quiet is kept, and how many.
-  base::Duration origin_memory = std::chrono::hours(24);
+  base::Duration origin_retention = std::chrono::hours(24);
   size_t origins = 32768;
 };
 
@@ -56,16 +57,16 @@
     base::Instant since;
   };
   struct Origin {
-    uint64_t dropped_through = 0;  // Zero: nothing was dropped.
+    uint64_t highest_dropped_sequence = 0;  // Zero: nothing was dropped.
     base::Instant last_seen;
   };
 
   void DropOldest();
-  void ForgetQuietOrigins(base::Instant now);
+  void ExpireIdleOrigins(base::Instant now);
 
   LedgerLimits limits_;
   absl::flat_hash_map<base::AttemptId, AttemptState> records_;
-  std::deque<End> ends_;
+  std::deque<End> finished_;
   absl::flat_hash_map<uint64_t, Origin> origins_;
 };
 
--- a/src/libs/admission/cold_limit.cc
+++ b/src/libs/admission/cold_start_limiter.cc
@@ -1,4 +1,4 @@
-#include "admission/cold_limit.h"
+#include "admission/cold_start_limiter.h"
 
 #include <algorithm>
 
@@ -25,8 +25,8 @@
 
 // What may be decided so that no second holds more than `declared` as the
 // server counts.
-ColdOptions WithMargin(const ColdOptions& declared) {
-  ColdOptions kept = declared;
+ColdStartOptions WithMargin(const ColdStartOptions& declared) {
+  ColdStartOptions kept = declared;
   const double late = Seconds(kHandingOver).count();
   kept.burst = declared.burst - kUncounted - declared.rate * late;
   if (kept.burst >= 1 || declared.rate <= 0)
@@ -39,74 +39,78 @@
 
 }  // namespace
 
-void ColdLimit::set_options(const ColdOptions& options) {
+void ColdStartLimiter::set_options(const ColdStartOptions& options) {
   options_ = WithMargin(options);
   tokens_ = std::min(tokens_, std::max(1.0, options_.burst));
 }
 
-void ColdLimit::OnServerStarted(Instant now) {
+void ColdStartLimiter::OnServerStarted(Instant now) {
   cold_until_ = now + options_.after_start;
-  told_at_ = {};
+  reported_at_ = {};
   is_assumed_ = true;
   tokens_ = std::max(1.0, options_.burst);
-  counted_at_ = now;
+  tokens_updated_at_ = now;
 }
 
-void ColdLimit::OnTold(Duration remaining, Instant said_at) {
-  if (said_at < told_at_)
+void ColdStartLimiter::OnReported(Duration remaining, Instant reported_at) {
+  if (reported_at < reported_at_)
     return;
-  told_at_ = said_at;
+  reported_at_ = reported_at;
   is_assumed_ = false;
-  cold_until_ = said_at + std::max(remaining, Duration());
+  cold_until_ = reported_at + std::max(remaining, Duration());
 }
 
-void ColdLimit::OnHealthyWithoutWord(Instant now) {
+void ColdStartLimiter::OnHealthyWithoutReport(Instant now) {
   if (is_assumed_)
-    OnTold({}, now);
+    OnReported({}, now);
 }
 
-void ColdLimit::Doubt(Instant now) {
+void ColdStartLimiter::AssumeCold(Instant now) {
   if (!IsCold(now))
     is_assumed_ = true;
-  told_at_ = now;
+  reported_at_ = now;
   cold_until_ = std::max<Instant>(cold_until_, now + kDoubt);
 }
 
-bool ColdLimit::IsCold(Instant now) const {
+bool ColdStartLimiter::IsCold(Instant now) const {
   return now < cold_until_;
 }
 
-bool ColdLimit::IsLimited(Instant now) const {
+bool ColdStartLimiter::IsLimited(Instant now) const {
   return options_.rate > 0 && IsCold(now);
 }
 
-bool ColdLimit::IsOverRate(Instant now) const {
+bool ColdStartLimiter::IsOverRateLimit(Instant now) const {
   return IsLimited(now) && TokensAt(now) < 0;
 }
 
-double ColdLimit::TokensAt(Instant now) const {
+double ColdStartLimiter::TokensAt(Instant now) const {
   const double earned =
-      Seconds(std::max<Duration>(now - counted_at_, Duration())).count() *
+      Seconds(std::max<Duration>(now - tokens_updated_at_, Duration()))
+          .count() *
       options_.rate;
   return std::min(tokens_ + earned, std::max(1.0, options_.burst));
 }
 
-double ColdLimit::Reserve(int rank) const {
+double ColdStartLimiter::ReservedTokens(int rank) const {
   return std::max(0.0, options_.burst - 1) *
-         std::clamp(rank, 0, kMostRanks - 1) / kMostRanks;
+         std::clamp(rank, 0, kRankCount - 1) / kRankCount;
 }
 
-int ColdLimit::RankAllowed(Instant now) const {
-  int rank = kMostRanks - 1;
+int ColdStartLimiter::LeastUrgentRankAllowed(Instant now) const {
+  int rank = kRankCount - 1;
   while (rank >= 0 && !MayStart(rank, now))
     --rank;
   return rank;
 }
 
-Duration ColdLimit::Wait(double requests, int rank, Instant now) const {
+Duration ColdStartLimiter::TimeUntilAllowed(double requests,
+                                            int rank,
+                                            Instant now) const {
   if (!IsLimited(now))
     return {};
-  const double missing = requests + Reserve(rank) - TokensAt(now) - kRounding;
+  const double missing =
+      requests + ReservedTokens(rank) - TokensAt(now) - kRounding;
   if (missing <= 0)
     return {};
   const auto wait =
@@ -115,14 +119,14 @@
   return std::min<Duration>(wait, cold_until_ - now);
 }
 
-void ColdLimit::OnStarted(Instant now) {
+void ColdStartLimiter::ConsumeToken(Instant now) {
   if (options_.rate <= 0)
     return;
   // A warm server owes no more than the starts of one second, which are those
   // that count if it says now that it is cold.
   const double least = std::min(0.0, options_.burst - options_.rate);
   tokens_ = std::max(TokensAt(now) - 1, least);
-  counted_at_ = now;
+  tokens_updated_at_ = now;
 }
 
 }  // namespace chestnutport::admission
--- a/src/libs/admission/concurrency_limit.cc
+++ b/src/libs/admission/concurrency_limit.cc
@@ -29,8 +29,8 @@
 ConcurrencyLimit::ConcurrencyLimit(int slots)
     : slots_(std::max(1, slots)),
       limit_(slots_),
-      up_pause_(kUpPause),
-      recent_(kRecentGain) {}
+      up_trial_interval_(kUpPause),
+      mean_service_time_(kRecentGain) {}
 
 void ConcurrencyLimit::SetSlots(int slots) {
   slots = std::max(1, slots);
@@ -44,12 +44,12 @@
   window_sum_ = 0;
 }
 
-void ConcurrencyLimit::StartCold(Instant now) {
-  const Duration ramp = cold_ramp_;
+void ConcurrencyLimit::StartWarmUp(Instant now) {
+  const Duration ramp = warm_up_time_;
   *this = ConcurrencyLimit(slots_);
   changed_at_ = now;
-  cold_since_ = now;
-  cold_ramp_ = ramp;
+  warm_up_started_at_ = now;
+  warm_up_time_ = ramp;
 }
 
 void ConcurrencyLimit::OnServed(Instant started,
@@ -57,9 +57,9 @@
                                 bool at_limit,
                                 Instant now) {
   const double seconds = Seconds(service_time).count();
-  recent_.Add(seconds);
+  mean_service_time_.Add(seconds);
   if (!at_limit) {
-    RaiseWhenIdle(now);
+    RaiseWhileIdle(now);
     return;
   }
   last_at_limit_ = now;
@@ -80,20 +80,22 @@
 
 void ConcurrencyLimit::OnShed(int in_flight, Instant now) {
   trial_ = Trial::kNone;
-  windows_to_up_ = kUpPause;
+  windows_until_up_trial_ = kUpPause;
   Change(std::min(limit_, in_flight - 1), now);
 }
 
 int ConcurrencyLimit::Limit(Instant now) const {
-  if (now >= cold_since_ + cold_ramp_)
+  if (now >= warm_up_started_at_ + warm_up_time_)
     return limit_;
-  const double warm = Seconds(now - cold_since_) / Seconds(cold_ramp_);
+  const double warm =
+      Seconds(now - warm_up_started_at_) / Seconds(warm_up_time_);
   const double share = kColdShare + (1 - kColdShare) * std::max(0.0, warm);
   return std::max(1, std::min(limit_, static_cast<int>(slots_ * share)));
 }
 
 Duration ConcurrencyLimit::service_time() const {
-  return std::chrono::duration_cast<Duration>(Seconds(recent_.mean()));
+  return std::chrono::duration_cast<Duration>(
+      Seconds(mean_service_time_.mean()));
 }
 
 void ConcurrencyLimit::EndWindow(double mean, Instant now) {
@@ -103,11 +105,11 @@
                    ? mean
                    : reference_ + kReferenceGain * (mean - reference_);
   mean_before_ = mean;
-  windows_to_up_ = relieved ? 0 : windows_to_up_ - 1;
+  windows_until_up_trial_ = relieved ? 0 : windows_until_up_trial_ - 1;
   const int lower = static_cast<int>(limit_ * kStep);
   if (lower >= 1 && suspicious)
     Begin(Trial::kDown, lower, now);
-  else if (limit_ < slots_ && windows_to_up_ <= 0)
+  else if (limit_ < slots_ && windows_until_up_trial_ <= 0)
     Begin(Trial::kUp, static_cast<int>(std::ceil(limit_ / kStep)), now);
 }
 
@@ -125,14 +127,14 @@
       Begin(trial, static_cast<int>(std::ceil(limit_ / kStep)), now);
     else if (trial == Trial::kDown && limit_ > 1)
       Begin(trial, std::max(1, static_cast<int>(limit_ * kStep)), now);
-    up_pause_ = kUpPause;
-    windows_to_up_ = up_pause_;
+    up_trial_interval_ = kUpPause;
+    windows_until_up_trial_ = up_trial_interval_;
     return;
   }
   Change(limit_before_, now);
   if (trial == Trial::kUp) {
-    windows_to_up_ = up_pause_;
-    up_pause_ = std::min(2 * up_pause_, kLongestUpPause);
+    windows_until_up_trial_ = up_trial_interval_;
+    up_trial_interval_ = std::min(2 * up_trial_interval_, kLongestUpPause);
   }
 }
 
@@ -149,7 +151,7 @@
   window_count_ = 0;
 }
 
-void ConcurrencyLimit::RaiseWhenIdle(Instant now) {
+void ConcurrencyLimit::RaiseWhileIdle(Instant now) {
   if (limit_ == slots_ || now < last_at_limit_ + kIdle ||
       now < changed_at_ + kIdleStep) {
     return;
--- a/src/libs/admission/concurrency_limit.h
+++ b/src/libs/admission/concurrency_limit.h
@@ -26,8 +26,8 @@
   void SetSlots(int slots);
 
   // The server started just now: the limit rises to the slots over the ramp.
-  void StartCold(base::Instant now);
-  void set_cold_ramp(base::Duration ramp) { cold_ramp_ = ramp; }
+  void StartWarmUp(base::Instant now);
+  void set_warm_up_time(base::Duration ramp) { warm_up_time_ = ramp; }
 
   // A request ended. `at_limit`: no more could be started beside it.
   void OnServed(base::Instant started,
@@ -42,7 +42,7 @@
   // The mean of recent service times; zero if there was none.
   base::Duration service_time() const;
   // Answers that the mean is made of.
-  int64_t served() const { return recent_.count(); }
+  int64_t served() const { return mean_service_time_.count(); }
 
  private:
   enum class Trial { kNone, kDown, kUp };
@@ -51,25 +51,25 @@
   void EndTrial(double mean, base::Instant now);
   void Begin(Trial trial, int limit, base::Instant now);
   void Change(int limit, base::Instant now);
-  void RaiseWhenIdle(base::Instant now);
+  void RaiseWhileIdle(base::Instant now);
 
   int slots_;
   int limit_;
   base::Instant changed_at_;
   base::Instant last_at_limit_;
-  base::Instant cold_since_;
-  base::Duration cold_ramp_{};
+  base::Instant warm_up_started_at_;
+  base::Duration warm_up_time_{};
 
   Trial trial_ = Trial::kNone;
   int limit_before_ = 0;  // The trial.
   double mean_before_ = 0;
   double reference_ = 0;  // Mean service time, in seconds, held for normal.
-  int windows_to_up_ = 0;
-  int up_pause_;
+  int windows_until_up_trial_ = 0;
+  int up_trial_interval_;
 
   double window_sum_ = 0;
   int window_count_ = 0;
-  SmoothedMean recent_;  // Service time, in seconds.
+  SmoothedMean mean_service_time_;  // Service time, in seconds.
 };
 
 }  // namespace chestnutport::admission
--- a/src/libs/admission/fair_queue.cc
+++ b/src/libs/admission/fair_queue.cc
@@ -29,10 +29,10 @@
   int rank = 0;
   for (size_t i = 0; i < declared.size(); ++i) {
     if (i > 0 && declared[i].urgency != declared[i - 1].urgency)
-      rank = std::min(rank + 1, FairQueue::kLeastUrgent);
+      rank = std::min(rank + 1, FairQueue::kLeastUrgentRank);
     classes[i].name = declared[i].name;
     classes[i].rank = rank;
-    for (int step = rank; step < FairQueue::kLeastUrgent; ++step)
+    for (int step = rank; step < FairQueue::kLeastUrgentRank; ++step)
       classes[i].tag.weight *= kClassRatio;
   }
   return classes;
@@ -69,8 +69,8 @@
   virtual_time_ = 0;
 }
 
-FlowId FairQueue::Flow(std::string_view traffic_class,
-                       std::string_view tenant) {
+FlowId FairQueue::FlowFor(std::string_view traffic_class,
+                          std::string_view tenant) {
   const size_t index = ClassIndex(traffic_class);
   const auto& known = classes_[index].by_tenant;
   const auto found = known.find(base::AbslView(tenant));
@@ -97,10 +97,10 @@
   ++size_;
 }
 
-std::optional<QueuedAttempt> FairQueue::Pop(int most_rank) {
+std::optional<QueuedAttempt> FairQueue::Pop(int max_rank) {
   ClassState* first = nullptr;
   for (ClassState& candidate : classes_) {
-    if (!candidate.active.empty() && candidate.rank <= most_rank &&
+    if (!candidate.active.empty() && candidate.rank <= max_rank &&
         (!first || candidate.tag.start < first->tag.start)) {
       first = &candidate;
     }
@@ -170,7 +170,7 @@
   mean_cost_.Add(seconds);
 }
 
-std::optional<Duration> FairQueue::ServiceTime(FlowId id) const {
+std::optional<Duration> FairQueue::MeanServiceTime(FlowId id) const {
   return ToDuration(flows_[id].cost.mean());
 }
 
@@ -178,7 +178,7 @@
   return ToDuration(flows_[id].recent.mean());
 }
 
-double FairQueue::Ahead(FlowId id) const {
+double FairQueue::RequestsAhead(FlowId id) const {
   const FlowState& flow = flows_[id];
   const auto own = static_cast<double>(flow.waiting.size());
   const double turns_for_weight = (own + 1) / Weight(flow);
@@ -199,7 +199,7 @@
   return classes_[flows_[flow].traffic_class].rank;
 }
 
-bool FairQueue::HasUpTo(int rank) const {
+bool FairQueue::HasQueuedUpTo(int rank) const {
   return std::ranges::any_of(classes_, [rank](const ClassState& waiting) {
     return waiting.rank <= rank && !waiting.active.empty();
   });
--- a/src/libs/admission/fair_queue.h
+++ b/src/libs/admission/fair_queue.h
@@ -23,7 +23,7 @@
 class FairQueue {
  public:
   // Classes weigh by rank; from this one on all weigh the same.
-  static constexpr int kLeastUrgent = 3;
+  static constexpr int kLeastUrgentRank = 3;
 
   explicit FairQueue(const TrafficShares& shares);
 
@@ -32,11 +32,11 @@
 
   // The flow of a tenant in a class. Invented names cannot grow memory: past a
   // fixed number of flows, further tenants share one flow a class.
-  FlowId Flow(std::string_view traffic_class, std::string_view tenant);
+  FlowId FlowFor(std::string_view traffic_class, std::string_view tenant);
 
   void Push(const QueuedAttempt& attempt);
-  // The next to run, or nothing if none waits; of ranks up to `most_rank` only.
-  std::optional<QueuedAttempt> Pop(int most_rank = kLeastUrgent);
+  // The next to run, or nothing if none waits; of ranks up to `max_rank` only.
+  std::optional<QueuedAttempt> Pop(int max_rank = kLeastUrgentRank);
   // Takes out one whose deadline has passed.
   std::optional<QueuedAttempt> PopExpired(base::Instant now);
   // Takes out the latest deadline of the flow that has most waiting for its
@@ -49,18 +49,18 @@
   void OnServed(FlowId flow, base::Duration service_time);
 
   // What requests of the flow take as a rule; nothing until one was served.
-  std::optional<base::Duration> ServiceTime(FlowId flow) const;
+  std::optional<base::Duration> MeanServiceTime(FlowId flow) const;
   // What they took of late, which follows a server that turns slow or well
   // within a few requests.
   std::optional<base::Duration> RecentServiceTime(FlowId flow) const;
 
   // How many would run before one that is pushed to the flow now.
-  double Ahead(FlowId flow) const;
+  double RequestsAhead(FlowId flow) const;
 
   // The rank of the flow's class by urgency; 0 is the most urgent.
   int RankOf(FlowId flow) const;
   // Whether anything of that rank waits, or of a more urgent one.
-  bool HasUpTo(int rank) const;
+  bool HasQueuedUpTo(int rank) const;
 
   size_t size() const { return size_; }
   size_t flows() const { return flows_.size(); }
--- a/src/libs/admission/probe_scheduler.cc
+++ b/src/libs/admission/probe_scheduler.cc
@@ -20,35 +20,39 @@
 
 }  // namespace
 
-std::optional<Duration> ProbeScheduler::Begin(Instant now) {
+std::optional<Duration> ProbeScheduler::StartIfDue(Instant now) {
   if (running_ || now < last_answer_ + options_.quiet ||
       now < last_probe_ + options_.quiet) {
     return std::nullopt;
   }
-  return Pay(kMostTime, now);
+  return ReserveBudget(kMostTime, now);
 }
 
 bool ProbeScheduler::IsStale(Instant now) const {
-  return options_.stale > Duration::zero() && now >= silent_until_ &&
+  return options_.stale > Duration::zero() &&
+         now >= known_unresponsive_until_ &&
          now >= last_answer_ + options_.stale;
 }
 
-std::optional<Duration> ProbeScheduler::BeginLook(Instant now) {
-  return running_ ? std::nullopt : Pay(kMostLookTime, now);
+std::optional<Duration> ProbeScheduler::StartOnDemand(Instant now) {
+  return running_ ? std::nullopt : ReserveBudget(kMostLookTime, now);
 }
 
-std::optional<Duration> ProbeScheduler::Pay(Duration longest, Instant now) {
-  while (!payments_.empty() && payments_.front().begun + kProbeWindow <= now)
-    payments_.pop_front();
-  const Duration window = std::min<Duration>(kProbeWindow, now - began_);
+std::optional<Duration> ProbeScheduler::ReserveBudget(Duration longest,
+                                                      Instant now) {
+  while (!budget_uses_.empty() &&
+         budget_uses_.front().begun + kProbeBudgetWindow <= now)
+    budget_uses_.pop_front();
+  const Duration window =
+      std::min<Duration>(kProbeBudgetWindow, now - started_at_);
   Duration left = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(window) * options_.budget);
-  for (const Payment& payment : payments_)
+  for (const BudgetUse& payment : budget_uses_)
     left -= payment.cost;
   if (left < kLeastTime)
     return std::nullopt;
   const Duration most = std::min<Duration>(left, longest);
-  payments_.push_back({now, most});
+  budget_uses_.push_back({now, most});
   last_probe_ = now;
   running_ = true;
   ++probes_;
@@ -59,12 +63,12 @@
   if (!running_)
     return;
   running_ = false;
-  payments_.back().cost = cost;
+  budget_uses_.back().cost = cost;
   spent_ += cost;
   if (answered)
     last_answer_ = now;
   else
-    silent_until_ = now + kSilenceHolds;
+    known_unresponsive_until_ = now + kSilenceHolds;
 }
 
 }  // namespace chestnutport::admission
--- a/src/libs/admission/probe_scheduler.h
+++ b/src/libs/admission/probe_scheduler.h
@@ -16,7 +16,7 @@
 
 namespace chestnutport::admission {
 
-inline constexpr std::chrono::seconds kProbeWindow(10);
+inline constexpr std::chrono::seconds kProbeBudgetWindow(10);
 
 struct ProbeOptions {
   double budget = 0.005;  // Share of the server's time.
@@ -31,7 +31,7 @@
  public:
   // `now`: when this life of the node began.
   ProbeScheduler(const ProbeOptions& options, base::Instant now)
-      : options_(options), began_(now), last_answer_(now) {}
+      : options_(options), started_at_(now), last_answer_(now) {}
 
   void set_options(const ProbeOptions& options) { options_ = options; }
 
@@ -39,12 +39,12 @@
   void OnAnswer(base::Instant now) { last_answer_ = now; }
 
   // Starts a probe if one is due; it must be ended within the time returned.
-  std::optional<base::Duration> Begin(base::Instant now);
+  std::optional<base::Duration> StartIfDue(base::Instant now);
   // Whether the server's last word is too old to start a request by. Not for a
   // while after a probe without an answer: that is known of it.
   bool IsStale(base::Instant now) const;
   // Starts a probe that a request waits for, whatever `quiet` says.
-  std::optional<base::Duration> BeginLook(base::Instant now);
+  std::optional<base::Duration> StartOnDemand(base::Instant now);
   bool IsRunning() const { return running_; }
   // The probe ended after `cost`.
   void End(base::Duration cost, bool answered, base::Instant now);
@@ -53,20 +53,21 @@
   base::Duration spent() const { return spent_; }
 
  private:
-  struct Payment {
+  struct BudgetUse {
     base::Instant begun;
     base::Duration cost;
   };
 
   // Pays for a probe of up to `longest`; nothing if the budget is used up.
-  std::optional<base::Duration> Pay(base::Duration longest, base::Instant now);
+  std::optional<base::Duration> ReserveBudget(base::Duration longest,
+                                              base::Instant now);
 
   ProbeOptions options_;
-  base::Instant began_;
+  base::Instant started_at_;
   base::Instant last_answer_;
   base::Instant last_probe_;
-  base::Instant silent_until_;    // The last probe had no answer.
-  std::deque<Payment> payments_;  // Of the current window.
+  base::Instant known_unresponsive_until_;  // The last probe had no answer.
+  std::deque<BudgetUse> budget_uses_;       // Of the current window.
   bool running_ = false;
   uint64_t probes_ = 0;
   base::Duration spent_{};
--- a/src/libs/admission/server_presence.cc
+++ b/src/libs/admission/server_liveness.cc
@@ -1,4 +1,4 @@
-#include "admission/server_presence.h"
+#include "admission/server_liveness.h"
 
 #include <algorithm>
 
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void ServerPresence::OnAnnounced(Instant now) {
+void ServerLiveness::OnAnnounced(Instant now) {
   if (announced_) {
     // Follows a longer interval at once and a shorter one slowly.
     const Duration gap =
@@ -28,18 +28,18 @@
   last_announced_ = now;
 }
 
-void ServerPresence::OnAnswer(Instant now) {
+void ServerLiveness::OnAnswer(Instant now) {
   last_answer_ = now;
 }
 
-bool ServerPresence::IsPresent(Instant now) const {
+bool ServerLiveness::IsAlive(Instant now) const {
   const auto patience = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(interval_) * kMissing);
   const Instant last_sign = std::max(last_announced_, last_answer_);
   return announced_ && now - last_sign <= patience;
 }
 
-bool ServerPresence::IsOverdue(Instant now) const {
+bool ServerLiveness::IsAnnouncementOverdue(Instant now) const {
   return !announced_ || now - last_announced_ > kOverdue * interval_;
 }
 
--- a/src/libs/admission/server_presence.h
+++ b/src/libs/admission/server_liveness.h
@@ -1,13 +1,13 @@
 // Judges whether this node's server is still there. Its announcements say so;
 // when they stop, traffic that it still answers is trusted over their absence.
-#ifndef ADMISSION_SERVER_PRESENCE_H_
-#define ADMISSION_SERVER_PRESENCE_H_
+#ifndef ADMISSION_SERVER_LIVENESS_H_
+#define ADMISSION_SERVER_LIVENESS_H_
 
 #include "base/time.h"
 
 namespace chestnutport::admission {
 
-class ServerPresence {
+class ServerLiveness {
  public:
   void OnAnnounced(base::Instant now);
   // The server answered a request or a probe.
@@ -17,10 +17,10 @@
 
   // False once three announcements in a row are missing and nothing was
   // answered for as long.
-  bool IsPresent(base::Instant now) const;
+  bool IsAlive(base::Instant now) const;
 
   // Its announcement is missing for twice the usual time, or there was none.
-  bool IsOverdue(base::Instant now) const;
+  bool IsAnnouncementOverdue(base::Instant now) const;
 
   // The usual time between two announcements, as seen.
   base::Duration interval() const { return interval_; }
@@ -34,4 +34,4 @@
 
 }  // namespace chestnutport::admission
 
-#endif  // ADMISSION_SERVER_PRESENCE_H_
+#endif  // ADMISSION_SERVER_LIVENESS_H_
--- a/src/libs/admission/server_pace.cc
+++ b/src/libs/admission/server_performance.cc
@@ -1,4 +1,4 @@
-#include "admission/server_pace.h"
+#include "admission/server_performance.h"
 
 #include <algorithm>
 #include <cmath>
@@ -31,41 +31,41 @@
 
 }  // namespace
 
-void ServerPace::OnSlowness(double slowness, Instant now) {
+void ServerPerformance::OnSlowness(double slowness, Instant now) {
   slowness_ = slowness;
   slowness_at_ = now;
 }
 
-void ServerPace::OnResult(bool is_good, Instant now) {
+void ServerPerformance::OnResult(bool is_good, Instant now) {
   const double before = FailureShare(now);
   failures_ = before + kResultWeight * ((is_good ? 0 : 1) - before);
   failures_at_ = now;
 }
 
-void ServerPace::OnSilentProbe(Instant now) {
+void ServerPerformance::OnProbeTimeout(Instant now) {
   OnSlowness(std::max(Slowness(now), kSilentSlowness), now);
 }
 
-double ServerPace::Slowness(Instant now) const {
+double ServerPerformance::Slowness(Instant now) const {
   return now - slowness_at_ <= kTrusted ? slowness_ : 1;
 }
 
-std::optional<Duration> ServerPace::Age(Instant now) const {
+std::optional<Duration> ServerPerformance::SlownessAge(Instant now) const {
   if (slowness_at_ == Instant())
     return std::nullopt;
   return now - slowness_at_;
 }
 
-double ServerPace::FailureShare(Instant now) const {
+double ServerPerformance::FailureShare(Instant now) const {
   return failures_ * std::exp2(-(Seconds(now - failures_at_) / kForgetting));
 }
 
-double ServerPace::Strain(Instant now) const {
+double ServerPerformance::Strain(Instant now) const {
   return Slowness(now) / (1 - std::min(FailureShare(now), kMostFailures));
 }
 
-std::optional<double> ServerPace::KnownStrain(Instant now) const {
-  const std::optional<Duration> age = Age(now);
+std::optional<double> ServerPerformance::KnownStrain(Instant now) const {
+  const std::optional<Duration> age = SlownessAge(now);
   const bool has_result = failures_at_ != Instant();
   const bool is_known = age ? *age <= kTrusted : has_result;
   if (!is_known)
@@ -73,7 +73,7 @@
   return Strain(now);
 }
 
-bool ServerPace::IsPoor(Instant now, double usual_strain) const {
+bool ServerPerformance::IsDegraded(Instant now, double usual_strain) const {
   const double strain = Strain(now) / usual_strain;
   return strain >= kSlow ||
          (FailureShare(now) >= kFaulty && strain >= 1 / (1 - kFaulty));
--- a/src/libs/gate/gate.cc
+++ b/src/libs/gate/gate.cc
@@ -41,24 +41,25 @@
       identity_(std::move(identity)),
       keys_(std::move(keys)),
       admission_(admission::AdmissionOptions{}),
-      freeze_watch_(base::Clock::now()),
+      pause_detector_(base::Clock::now()),
       protocol_(std::move(protocol)),
       running_(running),
       keyed_requests_(identity_.id),
       client_(loop, ServerConnections(protocol_)),
-      observer_(
-          loop,
-          protocol_,
-          {.looked = [this] { AdmitWaiting(); },
-           .probed = [this] { admission_.OnProbed(base::Clock::now()); },
-           .told_cold =
-               [this](base::Duration remaining) {
-                 admission_.cold().OnTold(remaining, base::Clock::now());
-               },
-           .found_no_cold =
-               [this] {
-                 admission_.cold().OnHealthyWithoutWord(base::Clock::now());
-               }}),
+      observer_(loop,
+                protocol_,
+                {.looked = [this] { AdmitDeferred(); },
+                 .probed = [this] { admission_.OnProbed(base::Clock::now()); },
+                 .told_cold =
+                     [this](base::Duration remaining) {
+                       admission_.cold_limiter().OnReported(remaining,
+                                                            base::Clock::now());
+                     },
+                 .found_no_cold =
+                     [this] {
+                       admission_.cold_limiter().OnHealthyWithoutReport(
+                           base::Clock::now());
+                     }}),
       outputs_(std::move(outputs)),
       settle_calls_(
           [this](const SettleRequest& request) { return Settle(request); }) {}
@@ -92,13 +93,13 @@
   if (has_started)
     admission_.OnServerStarted(now);
   if (server.cold_told_at != base::Instant()) {
-    admission_.cold().OnTold(server.cold_until - server.cold_told_at,
-                             server.cold_told_at);
+    admission_.cold_limiter().OnReported(
+        server.cold_until - server.cold_told_at, server.cold_told_at);
   }
   if (was_evacuated)
-    admission_.cold().Doubt(now);
+    admission_.cold_limiter().AssumeCold(now);
   if (server.TakesWork()) {
-    empty_told_ = false;
+    is_empty_logged_ = false;
     if (!on_empty_)
       admission_.StopDrain();
   } else if (!admission_.IsDraining()) {
@@ -112,7 +113,7 @@
       guard_.SetVerdicts(std::move(verdicts), server_.life, base::Clock::now());
   for (const base::RequestFingerprint& fingerprint : answered)
     outputs_.suspect_answered(fingerprint);
-  DropQuarantined();
+  CancelQuarantined();
 }
 
 void Gate::SetKeyView(std::vector<keys::OwnerNode> nodes, base::Instant as_of) {
@@ -202,11 +203,11 @@
 
 void Gate::Tick() {
   const base::Instant now = base::Clock::now();
-  freeze_watch_.Look(now);
+  pause_detector_.Update(now);
   Perform(admission_.Tick(now));
   observer_.Tick(now);
   if (const auto broken = observer_.TakeEnd(now))
-    OnServerEnded(*broken);
+    OnServerCrashed(*broken);
   if (now >= reported_at_ + kReportInterval)
     Report(now);
   ticker_ = loop_.CallAfter(kTickInterval, [this] { Tick(); });
@@ -215,7 +216,7 @@
 void Gate::CheckEmpty() {
   if (!admission_.IsEmpty())
     return;
-  if (server_.draining && !std::exchange(empty_told_, true)) {
+  if (server_.draining && !std::exchange(is_empty_logged_, true)) {
     telemetry::LogEvent(telemetry::Event::kServerEmpty,
                         {{"service", server_.service}});
   }
@@ -230,10 +231,11 @@
   load.strain = observer_.pace().KnownStrain(now);
   outputs_.report(
       {.life = server_.life,
-       .cold_until = admission_.cold().cold_until(),
+       .cold_until = admission_.cold_limiter().cold_until(),
        .last_answer = observer_.last_answer(),
        .load = load,
-       .word_age = observer_.pace().Age(now).value_or(base::Duration()),
+       .slowness_report_age =
+           observer_.pace().SlownessAge(now).value_or(base::Duration()),
        .probes = probes.probes(),
        .probe_time = probes.spent()});
 }
--- a/src/libs/gate/gate.h
+++ b/src/libs/gate/gate.h
@@ -10,7 +10,7 @@
 
 #include "absl/container/flat_hash_map.h"
 #include "admission/admission_controller.h"
-#include "admission/freeze_watch.h"
+#include "admission/pause_detector.h"
 #include "base/result.h"
 #include "control_calls/peer_keys.h"
 #include "gate/gate_arrival.h"
@@ -82,18 +82,20 @@
                net::HttpRequest request,
                net::Reply reply);
   // Admits those that waited for the server's word on its pace.
-  void AdmitWaiting();
+  void AdmitDeferred();
   void Admit(GateArrival arrival);
   // Whether the attempt was answered because the server is not to have it.
-  bool TurnsAway(GateArrival& arrival, base::Instant now);
+  bool RejectIfUnservable(GateArrival& arrival, base::Instant now);
   // Why the request is held back, if it is so before it is queued.
-  std::optional<quarantine::GuardRefusal> Held(const GateArrival& arrival,
-                                               base::Instant now) const;
+  std::optional<quarantine::GuardRefusal> QuarantineRefusal(
+      const GateArrival& arrival,
+      base::Instant now) const;
   // Says whether the attempt would be let in now. Nothing is kept of it.
   void AnswerInquiry(const admission::Arrival& asked, net::Reply& reply);
-  void Keep(GateArrival arrival);
+  void AddAttempt(GateArrival arrival);
   // Whether another server would do better with a request that may move.
-  bool HandsBack(const wire::PeerRequestHead& head, base::Instant now) const;
+  bool ShouldMoveElsewhere(const wire::PeerRequestHead& head,
+                           base::Instant now) const;
   admission::AttemptState Settle(const SettleRequest& request);
   void Perform(admission::AdmissionActions actions);
   void Refuse(const base::AttemptId& id,
@@ -117,27 +119,28 @@
   // Hands the attempt to the server. Returns what to do next if it is not to
   // have it any more.
   admission::AdmissionActions Start(const base::AttemptId& id);
-  std::optional<quarantine::GuardRefusal> RefusalAtStart(
+  std::optional<quarantine::GuardRefusal> FindRefusalAtStart(
       const GateAttempt& attempt,
       base::Instant now);
-  void Serve(GateAttempt& attempt, base::Instant now);
+  void SendToServer(GateAttempt& attempt, base::Instant now);
   // Hands the answer on as it comes, if it is large.
   bool StartRelay(const base::AttemptId& id, const net::HttpAnswer& head);
   bool RelayPart(const base::AttemptId& id, std::string_view part);
   void OnServerDone(const base::AttemptId& id, net::TransferResult result);
   // Takes note of what the end says of the server and of the request.
-  void NoteEnd(const GateAttempt& attempt,
-               server::RequestEnd end,
-               const net::TransferResult& result,
-               base::Instant now);
+  void RecordEnd(const GateAttempt& attempt,
+                 server::RequestEnd end,
+                 const net::TransferResult& result,
+                 base::Instant now);
   // The server ended while it ran these.
-  void OnServerEnded(const std::vector<admission::BrokenRequest>& broken);
+  void OnServerCrashed(
+      const std::vector<admission::InterruptedRequest>& broken);
   // Refuses what waits, and stops what may be stopped, of requests that were
   // put in quarantine meanwhile.
-  void DropQuarantined();
+  void CancelQuarantined();
   // What the sender of an attempt that is cancelled is told.
   struct CancelReason {
-    base::ErrorKind unrun = base::ErrorKind::kCancelled;
+    base::ErrorKind not_run = base::ErrorKind::kCancelled;
     base::ErrorKind stopped = base::ErrorKind::kConnectionLost;
     base::Duration retry_after{};
   };
@@ -149,20 +152,20 @@
   bool CancelUnsent(const base::AttemptId& id,
                     const CancelReason& reason,
                     base::Instant now);
-  void OnPeerGone(const base::AttemptId& id);
+  void OnPeerDisconnected(const base::AttemptId& id);
 
   net::EventLoop& loop_;
   traffic::NodeIdentity identity_;
   control_calls::PeerKeys keys_;
   server::ServerState server_;
   admission::AdmissionController admission_;
-  admission::FreezeWatch freeze_watch_;
+  admission::PauseDetector pause_detector_;
   server::AnyServerProtocol protocol_;
   traffic::RunningRequests& running_;
   KeyedRequests keyed_requests_;
   net::HttpClient client_;
   server::ServerObserver observer_;
-  std::vector<GateArrival> waiting_for_look_;
+  std::vector<GateArrival> waiting_for_probe_;
   quarantine::GateGuard guard_;
   Outputs outputs_;
   base::Instant reported_at_;
@@ -171,7 +174,7 @@
   std::unique_ptr<net::HttpServer> listener_;
   absl::flat_hash_map<base::AttemptId, std::unique_ptr<GateAttempt>> attempts_;
   std::function<void()> on_empty_;
-  bool empty_told_ = false;  // That the draining server has no work left.
+  bool is_empty_logged_ = false;  // That the draining server has no work left.
   net::EventLoop::TimerId ticker_ = 0;
 };
 
--- a/src/libs/gate/gate_admission.cc
+++ b/src/libs/gate/gate_admission.cc
@@ -57,35 +57,35 @@
                    net::HttpRequest request,
                    net::Reply reply) {
   const base::Instant now = base::Clock::now();
-  freeze_watch_.Look(now);
+  pause_detector_.Update(now);
   GateArrival arrival{
       .head = head,
       .request = std::move(request),
       .reply = std::move(reply),
       .arrived_at = now,
-      .deadline = now + head.remaining - freeze_watch_.UnseenWait(now),
+      .deadline = now + head.remaining - pause_detector_.UnobservedDelay(now),
       .target = TargetOf(head, now)};
-  arrival.is_inquiry = arrival.request.target == traffic::kInquiryPath;
+  arrival.is_inquiry = arrival.request.target == traffic::kCapacityInquiryPath;
   // How slow the server is when a request starts decides how long it takes, so
   // one that could go elsewhere waits for the server's word if there is none of
   // now. To a cold server a probe is as much as a request.
   const bool may_wait = head.may_move && server_.TakesWork() &&
-                        admission_.HasRoom(now) &&
-                        !admission_.cold().IsLimited(now);
+                        admission_.HasCapacity(now) &&
+                        !admission_.cold_limiter().IsLimited(now);
   if (may_wait && observer_.Look(now))
-    waiting_for_look_.push_back(std::move(arrival));
+    waiting_for_probe_.push_back(std::move(arrival));
   else
     Admit(std::move(arrival));
 }
 
-void Gate::AdmitWaiting() {
-  for (GateArrival& arrival : std::exchange(waiting_for_look_, {}))
+void Gate::AdmitDeferred() {
+  for (GateArrival& arrival : std::exchange(waiting_for_probe_, {}))
     Admit(std::move(arrival));
 }
 
 void Gate::Admit(GateArrival arrival) {
   const base::Instant now = base::Clock::now();
-  if (TurnsAway(arrival, now))
+  if (RejectIfUnservable(arrival, now))
     return;
   const wire::PeerRequestHead& head = arrival.head;
   const admission::Arrival asked{head.attempt,       head.tenant,
@@ -107,18 +107,18 @@
                net::MakeErrorAnswer(ErrorKind::kDuplicateAttempt));
     return;
   }
-  Keep(std::move(arrival));
+  AddAttempt(std::move(arrival));
   Perform(actions);
 }
 
-bool Gate::TurnsAway(GateArrival& arrival, base::Instant now) {
+bool Gate::RejectIfUnservable(GateArrival& arrival, base::Instant now) {
   const wire::PeerRequestHead& head = arrival.head;
   if (!server_.announced || server_.service != head.service ||
       observer_.is_replaced()) {
     SendAnswer(arrival.reply, net::MakeErrorAnswer(ErrorKind::kNoServer));
     return true;
   }
-  if (const auto refusal = Held(arrival, now)) {
+  if (const auto refusal = QuarantineRefusal(arrival, now)) {
     LogDecision({.request = head.request_name,
                  .fingerprint = head.fingerprint,
                  .error = refusal->error});
@@ -126,20 +126,21 @@
                wire::MakePeerErrorAnswer(refusal->error, refusal->retry_after));
     return true;
   }
-  if (!head.may_move || !server_.TakesWork() || !HandsBack(head, now))
+  if (!head.may_move || !server_.TakesWork() || !ShouldMoveElsewhere(head, now))
     return false;
   LogDecision({.request = head.request_name,
                .fingerprint = head.fingerprint,
                .error = ErrorKind::kServerSlow,
                .admitted_slowness = observer_.pace().Slowness(now),
-               .slowness_age = observer_.pace().Age(now),
+               .slowness_age = observer_.pace().SlownessAge(now),
                .usual_strain = head.usual_strain});
   SendAnswer(arrival.reply, net::MakeErrorAnswer(ErrorKind::kServerSlow));
   return true;
 }
 
-std::optional<quarantine::GuardRefusal> Gate::Held(const GateArrival& arrival,
-                                                   base::Instant now) const {
+std::optional<quarantine::GuardRefusal> Gate::QuarantineRefusal(
+    const GateArrival& arrival,
+    base::Instant now) const {
   const wire::PeerRequestHead& head = arrival.head;
   // A copy of an attempt that is here must not hear that it does not run.
   const bool is_new = admission_.State(head.attempt) == AttemptState::kUnknown;
@@ -152,15 +153,15 @@
 }
 
 void Gate::AnswerInquiry(const admission::Arrival& asked, net::Reply& reply) {
-  if (const auto refused = admission_.Judge(asked, base::Clock::now())) {
+  if (const auto refused = admission_.CheckRefusal(asked, base::Clock::now())) {
     SendAnswer(reply,
                wire::MakePeerErrorAnswer(refused->error, refused->retry_after));
     return;
   }
-  SendAnswer(reply, {.status = traffic::kPlaceFree});
+  SendAnswer(reply, {.status = traffic::kCapacityAvailable});
 }
 
-void Gate::Keep(GateArrival arrival) {
+void Gate::AddAttempt(GateArrival arrival) {
   const wire::PeerRequestHead& head = arrival.head;
   auto attempt = std::make_unique<GateAttempt>();
   attempt->id = head.attempt;
@@ -175,20 +176,20 @@
   attempt->target = arrival.target;
   const base::Instant now = base::Clock::now();
   attempt->slowness = observer_.pace().Slowness(now);
-  attempt->slowness_age = observer_.pace().Age(now);
+  attempt->slowness_age = observer_.pace().SlownessAge(now);
   attempt->method = arrival.request.method;
   attempt->request = std::move(arrival.request);
   attempt->reply = std::move(arrival.reply);
   attempt->reply.OnGone([this, id = head.attempt] {
-    loop_.Defer(this, [this, id] { OnPeerGone(id); });
+    loop_.Defer(this, [this, id] { OnPeerDisconnected(id); });
   });
   attempts_.emplace(head.attempt, std::move(attempt));
 }
 
-bool Gate::HandsBack(const wire::PeerRequestHead& head,
-                     base::Instant now) const {
-  return observer_.pace().IsPoor(now, head.usual_strain) ||
-         (head.may_move_if_full && !admission_.HasRoom(now));
+bool Gate::ShouldMoveElsewhere(const wire::PeerRequestHead& head,
+                               base::Instant now) const {
+  return observer_.pace().IsDegraded(now, head.usual_strain) ||
+         (head.may_move_if_full && !admission_.HasCapacity(now));
 }
 
 }  // namespace chestnutport::gate
--- a/src/libs/gate/gate_log.cc
+++ b/src/libs/gate/gate_log.cc
@@ -25,13 +25,14 @@
 }
 
 // As many as a value of a line holds; with how long each had run.
-std::string DescribeRunning(std::span<const admission::BrokenRequest> running) {
+std::string DescribeRunning(
+    std::span<const admission::InterruptedRequest> running) {
   std::string text;
-  for (const admission::BrokenRequest& request : running) {
+  for (const admission::InterruptedRequest& request : running) {
     const std::string one = absl::StrCat(
         request.fingerprint.ToString(), "+",
         base::FormatDuration(std::chrono::round<std::chrono::milliseconds>(
-            request.broken_at - request.started_at)));
+            request.interrupted_at - request.started_at)));
     if (text.size() + one.size() > kLongestRunning)
       break;
     absl::StrAppend(&text, text.empty() ? "" : " ", one);
@@ -69,8 +70,8 @@
        {"failing", absl::StrFormat("%.2f", decision.failure_share)}});
 }
 
-void LogServerEnd(const std::string& service,
-                  std::span<const admission::BrokenRequest> running) {
+void LogServerCrash(const std::string& service,
+                    std::span<const admission::InterruptedRequest> running) {
   telemetry::LogEvent(
       Event::kServerEnded,
       {{"service", service},
--- a/src/libs/gate/gate_log.h
+++ b/src/libs/gate/gate_log.h
@@ -7,7 +7,7 @@
 #include <span>
 #include <string>
 
-#include "admission/server_end_watch.h"
+#include "admission/server_crash_detector.h"
 #include "base/error_kind.h"
 #include "base/request_fingerprint.h"
 #include "base/time.h"
@@ -26,7 +26,7 @@
   // By which the attempt was admitted.
   double admitted_slowness = 1;
   std::optional<base::Duration> slowness_age;  // Nothing: it was never told.
-  // What the asking node takes for usual in the service; see ServerPace.
+  // What the asking node takes for usual in the service; see ServerPerformance.
   std::optional<double> usual_strain;
   // The state of the server as of now.
   wire::LoadReport load;
@@ -38,8 +38,8 @@
 void LogGateDecision(const GateDecision& decision);
 
 // The gate's server ended while it ran these.
-void LogServerEnd(const std::string& service,
-                  std::span<const admission::BrokenRequest> running);
+void LogServerCrash(const std::string& service,
+                    std::span<const admission::InterruptedRequest> running);
 
 }  // namespace chestnutport::gate
 
--- a/src/libs/gate/gate_report.h
+++ b/src/libs/gate/gate_report.h
@@ -14,7 +14,8 @@
   base::Instant cold_until;   // As far as the gate knows.
   base::Instant last_answer;  // Of the server, to a request or a probe.
   wire::LoadReport load;
-  base::Duration word_age{};  // Of what the server last said of its pace.
+  base::Duration
+      slowness_report_age{};  // Of what the server last said of its pace.
   uint64_t probes = 0;
   base::Duration probe_time{};  // The server's time spent on them, in all.
 };
--- a/src/libs/gate/gate_serving.cc
+++ b/src/libs/gate/gate_serving.cc
@@ -27,15 +27,15 @@
     return {};
   // Read anew: the process may have been stopped since the decision.
   const base::Instant now = base::Clock::now();
-  if (const auto refusal = RefusalAtStart(*found->second, now)) {
+  if (const auto refusal = FindRefusalAtStart(*found->second, now)) {
     Refuse(id, refusal->error, refusal->retry_after);
     return admission_.Finish(id, now, ServerResult::kNotSent);
   }
-  Serve(*found->second, now);
+  SendToServer(*found->second, now);
   return {};
 }
 
-std::optional<quarantine::GuardRefusal> Gate::RefusalAtStart(
+std::optional<quarantine::GuardRefusal> Gate::FindRefusalAtStart(
     const GateAttempt& attempt,
     base::Instant now) {
   if (!admission_.MaySend(attempt.id, now))
@@ -46,7 +46,7 @@
   return guard_.Judge(attempt.guarded, now);
 }
 
-void Gate::Serve(GateAttempt& attempt, base::Instant now) {
+void Gate::SendToServer(GateAttempt& attempt, base::Instant now) {
   net::HttpRequest request = std::move(attempt.request);
   net::RemoveHopByHop(request.headers);
   net::RemoveHeader(request.headers, "Content-Length");
@@ -77,16 +77,18 @@
     return false;
   }
   GateAttempt& attempt = *found->second;
-  if (!traffic::IsRelayed(attempt.method, head))
+  if (!traffic::ShouldRelay(attempt.method, head))
     return false;
   const base::Instant now = base::Clock::now();
   keyed_requests_.OnStreamed(id, now);
   const base::Duration server_time = now - *attempt.started_at;
-  net::HttpAnswer answer = ForPeer(head, server_time);
+  net::HttpAnswer answer = MakePeerAnswer(head, server_time);
   AddLoad(answer);
   attempt.relay = std::make_unique<traffic::AnswerRelay>(
       client_, attempt.transfer, std::move(answer), std::move(attempt.reply),
-      [this, id] { loop_.Defer(this, [this, id] { OnPeerGone(id); }); });
+      [this, id] {
+        loop_.Defer(this, [this, id] { OnPeerDisconnected(id); });
+      });
   return true;
 }
 
@@ -107,7 +109,7 @@
           ? protocol_.judge(result.answer)
           : server::ServerVerdict::kUnusable;
   const bool has_failed_call = running_.OnEnded(attempt.name);
-  NoteEnd(attempt, {result.end, verdict, has_failed_call}, result, now);
+  RecordEnd(attempt, {result.end, verdict, has_failed_call}, result, now);
   AdmissionActions actions =
       admission_.Finish(id, now, ToServerResult(result.end, verdict));
   const auto error = ErrorOf(result.end, verdict);
@@ -118,7 +120,7 @@
     Answer(attempt, net::MakeErrorAnswer(*error));
   } else {
     net::HttpAnswer answer =
-        ForPeer(std::move(result.answer), now - *attempt.started_at);
+        MakePeerAnswer(std::move(result.answer), now - *attempt.started_at);
     if (has_failed_call)
       answer.headers.push_back({wire::kCallFailedHeader, "1"});
     Answer(attempt, std::move(answer));
@@ -127,15 +129,15 @@
   CheckEmpty();
 }
 
-void Gate::NoteEnd(const GateAttempt& attempt,
-                   server::RequestEnd end,
-                   const net::TransferResult& result,
-                   base::Instant now) {
+void Gate::RecordEnd(const GateAttempt& attempt,
+                     server::RequestEnd end,
+                     const net::TransferResult& result,
+                     base::Instant now) {
   end.life = attempt.life;
   end.is_refused = result.is_refused;
   end.fingerprint = attempt.guarded.fingerprint;
   end.is_suspect = attempt.guarded.is_suspect;
-  end.is_over_cold_rate = admission_.cold().IsOverRate(now);
+  end.is_over_cold_rate = admission_.cold_limiter().IsOverRateLimit(now);
   end.started_at = *attempt.started_at;
   end.instance = attempt.instance;
   observer_.OnRequestEnd(end, result.answer, now);
@@ -148,18 +150,19 @@
     outputs_.suspect_answered(end.fingerprint);
 }
 
-void Gate::OnServerEnded(const std::vector<admission::BrokenRequest>& broken) {
-  LogServerEnd(server_.service, broken);
+void Gate::OnServerCrashed(
+    const std::vector<admission::InterruptedRequest>& broken) {
+  LogServerCrash(server_.service, broken);
   // What it got in all explains the end, so no single request is blamed.
-  const bool is_explained =
-      std::ranges::all_of(broken, &admission::BrokenRequest::is_over_cold_rate);
+  const bool is_explained = std::ranges::all_of(
+      broken, &admission::InterruptedRequest::is_over_cold_rate);
   if (is_explained)
     return;
   std::vector<quarantine::RunningRequest> running;
   running.reserve(broken.size());
-  for (const admission::BrokenRequest& request : broken) {
+  for (const admission::InterruptedRequest& request : broken) {
     running.push_back({request.fingerprint,
-                       request.broken_at - request.started_at,
+                       request.interrupted_at - request.started_at,
                        request.is_suspect});
   }
   const quarantine::CrashId crash{identity_.id,
@@ -167,7 +170,7 @@
   outputs_.server_crash(guard_.Blame(crash, running, base::Clock::now()));
 }
 
-void Gate::DropQuarantined() {
+void Gate::CancelQuarantined() {
   const base::Instant now = base::Clock::now();
   std::vector<std::pair<AttemptId, base::Duration>> dropped;
   for (const auto& [id, attempt] : attempts_) {
@@ -193,7 +196,7 @@
   const base::Instant now = base::Clock::now();
   const AttemptState before = admission_.Cancel(id, now);
   if (before == AttemptState::kQueued) {
-    Refuse(id, reason.unrun, reason.retry_after);
+    Refuse(id, reason.not_run, reason.retry_after);
     return AttemptState::kNeverRuns;
   }
   if (before != AttemptState::kRunning)
@@ -225,13 +228,13 @@
   client_.Cancel(found->second->transfer);
   running_.OnEnded(found->second->name);
   guard_.OnEnded(id, found->second->guarded.fingerprint, std::nullopt, now);
-  Refuse(id, reason.unrun, reason.retry_after);
+  Refuse(id, reason.not_run, reason.retry_after);
   Perform(admission_.Finish(id, now, ServerResult::kNotSent));
   CheckEmpty();
   return true;
 }
 
-void Gate::OnPeerGone(const AttemptId& id) {
+void Gate::OnPeerDisconnected(const AttemptId& id) {
   const auto found = attempts_.find(id);
   if (found == attempts_.end())
     return;
--- a/src/libs/gate/server_answer.cc
+++ b/src/libs/gate/server_answer.cc
@@ -70,7 +70,8 @@
   return std::nullopt;
 }
 
-net::HttpAnswer ForPeer(net::HttpAnswer answer, base::Duration server_time) {
+net::HttpAnswer MakePeerAnswer(net::HttpAnswer answer,
+                               base::Duration server_time) {
   net::RemoveHopByHop(answer.headers);
   for (const char* name : kNodeAnswerHeaders)
     net::RemoveHeader(answer.headers, name);
--- a/src/libs/gate/server_answer.h
+++ b/src/libs/gate/server_answer.h
@@ -25,7 +25,8 @@
 
 // The server's answer, or its head, marked as such and with the time that the
 // server took.
-net::HttpAnswer ForPeer(net::HttpAnswer answer, base::Duration server_time);
+net::HttpAnswer MakePeerAnswer(net::HttpAnswer answer,
+                               base::Duration server_time);
 
 }  // namespace chestnutport::gate
 
--- a/src/libs/gate/settle_calls.cc
+++ b/src/libs/gate/settle_calls.cc
@@ -13,7 +13,7 @@
 using nlohmann::json;
 
 // True also if it is left out.
-bool IsWanted(const json& request, const char* field) {
+bool ReadFlag(const json& request, const char* field) {
   return !request.contains(field) || request[field] != false;
 }
 
@@ -26,8 +26,8 @@
   const auto attempt = AttemptId::Parse(read["attempt"].get<std::string>());
   if (!attempt)
     return std::nullopt;
-  return SettleRequest{*attempt, IsWanted(read, "cancel"),
-                       IsWanted(read, "stop_running")};
+  return SettleRequest{*attempt, ReadFlag(read, "cancel"),
+                       ReadFlag(read, "stop_running")};
 }
 
 }  // namespace
--- a/src/libs/ingress/attempt_sender.cc
+++ b/src/libs/ingress/attempt_sender.cc
@@ -128,7 +128,8 @@
 
 void AttemptSender::Inquire(InFlight& sent) {
   const Held& held = *sent.held;
-  net::HttpRequest inquiry{.method = "POST", .target = traffic::kInquiryPath};
+  net::HttpRequest inquiry{.method = "POST",
+                           .target = traffic::kCapacityInquiryPath};
   held.head.AppendTo(inquiry.headers, keys_.current);
   sent.transfer = client_.Send(
       held.to, std::move(inquiry),
@@ -146,7 +147,7 @@
   InFlight& sent = found->second;
   const bool is_whole = result.end == net::TransferEnd::kComplete;
   const bool has_place =
-      is_whole && result.answer.status == traffic::kPlaceFree;
+      is_whole && result.answer.status == traffic::kCapacityAvailable;
   // Nothing of the request was sent, whatever became of the question.
   if (!is_whole)
     result.end = net::TransferEnd::kNotSent;
@@ -186,7 +187,7 @@
                                const net::HttpAnswer& head) {
   const auto found = in_flight_.find(attempt);
   if (found == in_flight_.end() ||
-      !traffic::IsRelayed(found->second.method, head))
+      !traffic::ShouldRelay(found->second.method, head))
     return false;
   const calls::AttemptEnd end =
       ReadEnd({.end = net::TransferEnd::kComplete, .answer = head},
--- a/src/libs/ingress/ingress.cc
+++ b/src/libs/ingress/ingress.cc
@@ -136,7 +136,7 @@
   request.fingerprint = FingerprintOf(request);
   if (RefuseQuarantined(request, reply))
     return;
-  const auto class_above = running_.ClassAbove(request.name);
+  const auto class_above = running_.ClassOfParent(request.name);
   if (class_above)
     request.traffic_class = ClassOfCall(request, *class_above);
   ServiceTraffic& service = Traffic(request.service);
--- a/src/libs/node/control_publishing.cc
+++ b/src/libs/node/control_publishing.cc
@@ -30,7 +30,7 @@
   return candidate;
 }
 
-admission::ColdOptions ColdOptionsOf(
+admission::ColdStartOptions ColdOptionsOf(
     const declarations::ServiceDeclaration& service,
     const settings::NodeSettings& settings) {
   return {.rate = service.cold_rate * settings.cold_rate_factor,
--- a/src/libs/node/control_readings.cc
+++ b/src/libs/node/control_readings.cc
@@ -126,7 +126,7 @@
   if (counts.gate.load.strain)
     readings.push_back({Metric::kServerStrain, "", *counts.gate.load.strain});
   readings.push_back(
-      {Metric::kServerWordAge, "", Seconds(counts.gate.word_age)});
+      {Metric::kServerWordAge, "", Seconds(counts.gate.slowness_report_age)});
   readings.push_back(
       {Metric::kProbes, "", static_cast<double>(counts.gate.probes)});
   readings.push_back(
--- a/src/libs/server/own_server.cc
+++ b/src/libs/server/own_server.cc
@@ -142,7 +142,8 @@
 bool OwnServer::TakeUp(const ServerAnnouncement& said) {
   using Verdict = ServerIncarnations::Verdict;
   const base::Instant now = base::Clock::now();
-  const bool is_overdue = !state_.announced || presence_.IsOverdue(now);
+  const bool is_overdue =
+      !state_.announced || presence_.IsAnnouncementOverdue(now);
   const Verdict verdict = incarnations_.OnAnnounced(said, is_overdue);
   if (verdict == Verdict::kLate)
     return false;
@@ -223,7 +224,7 @@
 }
 
 void OwnServer::CheckPresence() {
-  if (state_.announced && !presence_.IsPresent(base::Clock::now()))
+  if (state_.announced && !presence_.IsAlive(base::Clock::now()))
     Withdraw();
   timer_ = loop_.CallAfter(kCheckInterval, [this] { CheckPresence(); });
 }
--- a/src/libs/server/own_server.h
+++ b/src/libs/server/own_server.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-#include "admission/server_presence.h"
+#include "admission/server_liveness.h"
 #include "base/result.h"
 #include "net/event_loop.h"
 #include "net/http_server.h"
@@ -86,7 +86,7 @@
   ServerIncarnations incarnations_;
   std::string last_fault_;  // Of an announcement; each is logged once in a row.
   std::set<DrainSource> drains_;
-  admission::ServerPresence presence_;
+  admission::ServerLiveness presence_;
   net::EventLoop::TimerId timer_ = 0;
   std::unique_ptr<net::HttpServer> listener_;
 };
--- a/src/libs/server/server_observer.cc
+++ b/src/libs/server/server_observer.cc
@@ -30,7 +30,7 @@
   prober_.SetServer(server);
   if (!has_started)
     return;
-  end_watch_.OnStarted(base::Clock::now());
+  end_watch_.OnServerRestarted(base::Clock::now());
   pace_.Reset();
   is_replaced_ = false;
 }
@@ -41,7 +41,7 @@
 }
 
 void ServerObserver::AskIfInDoubt(base::Instant now) {
-  const bool is_due = end_watch_.IsInDoubt() && now >= ask_again_at_;
+  const bool is_due = end_watch_.IsCrashSuspected() && now >= ask_again_at_;
   if (is_due && prober_.Ask(now))
     ask_again_at_ = now + kAskInterval;
 }
@@ -57,13 +57,13 @@
                          {"found", protocol_.instance(answer.headers)}});
   }
   if (request.end == net::TransferEnd::kLost) {
-    end_watch_.OnBroken({.fingerprint = request.fingerprint,
-                         .is_suspect = request.is_suspect,
-                         .life = request.life,
-                         .instance = request.instance,
-                         .is_over_cold_rate = request.is_over_cold_rate,
-                         .started_at = request.started_at,
-                         .broken_at = now});
+    end_watch_.OnInterrupted({.fingerprint = request.fingerprint,
+                              .is_suspect = request.is_suspect,
+                              .life = request.life,
+                              .instance = request.instance,
+                              .is_over_cold_rate = request.is_over_cold_rate,
+                              .started_at = request.started_at,
+                              .interrupted_at = now});
   }
   // An end that comes after the next life has announced itself says nothing of
   // that one, which would stand idle for a refusal that was not its own.
@@ -81,7 +81,7 @@
     NoteState(answer.headers, now);
   }
   if (request.is_refused)
-    end_watch_.OnRefused(now);
+    end_watch_.OnConnectionRefused(now);
   if (is_whole && request.verdict == ServerVerdict::kOtherInstance) {
     is_replaced_ = true;
     return;
@@ -111,14 +111,14 @@
   if (result.end == net::TransferEnd::kComplete && is_own)
     end_watch_.OnAnswer(begun);
   if (result.is_refused)
-    end_watch_.OnRefused(now);
+    end_watch_.OnConnectionRefused(now);
   if (result.end == net::TransferEnd::kComplete) {
     NoteState(result.answer.headers, now);
     const auto& headers = result.answer.headers;
     if (is_own && protocol_.tells_when_cold && !protocol_.cold_for(headers))
       outputs_.found_no_cold();
   } else if (result.end == net::TransferEnd::kTimedOut) {
-    pace_.OnSilentProbe(now);
+    pace_.OnProbeTimeout(now);
   } else {
     pace_.OnResult(false, now);
   }
--- a/src/libs/server/server_observer.h
+++ b/src/libs/server/server_observer.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "admission/server_end_watch.h"
-#include "admission/server_pace.h"
+#include "admission/server_crash_detector.h"
+#include "admission/server_performance.h"
 #include "base/request_fingerprint.h"
 #include "net/event_loop.h"
 #include "server/server_prober.h"
@@ -64,12 +64,12 @@
   // Call about each 10 ms.
   void Tick(base::Instant now);
   // What the server ran when it ended, once for each end.
-  std::optional<std::vector<admission::BrokenRequest>> TakeEnd(
+  std::optional<std::vector<admission::InterruptedRequest>> TakeEnd(
       base::Instant now) {
-    return end_watch_.TakeEnd(now);
+    return end_watch_.TakeCrash(now);
   }
 
-  const admission::ServerPace& pace() const { return pace_; }
+  const admission::ServerPerformance& pace() const { return pace_; }
   // Another server answered at the address what was meant for the present one:
   // nothing is sent there until that one announces itself.
   bool is_replaced() const { return is_replaced_; }
@@ -98,8 +98,8 @@
   Outputs outputs_;
   std::string instance_;
   uint64_t life_ = 0;
-  admission::ServerPace pace_;
-  admission::ServerEndWatch end_watch_;
+  admission::ServerPerformance pace_;
+  admission::ServerCrashDetector end_watch_;
   base::Instant ask_again_at_;
   bool is_replaced_ = false;
   ServerProber prober_;
--- a/src/libs/server/server_prober.cc
+++ b/src/libs/server/server_prober.cc
@@ -42,7 +42,7 @@
 bool ServerProber::Ask(base::Instant now) {
   if (path_.empty())
     return false;
-  const auto allowed = scheduler_.BeginLook(now);
+  const auto allowed = scheduler_.StartOnDemand(now);
   if (!allowed)
     return false;
   Probe(*allowed, now);
@@ -52,7 +52,7 @@
 void ServerProber::Tick(base::Instant now) {
   if (path_.empty())
     return;
-  if (const auto allowed = scheduler_.Begin(now))
+  if (const auto allowed = scheduler_.StartIfDue(now))
     Probe(*allowed, now);
 }
 
--- a/src/libs/traffic/answer_relay.cc
+++ b/src/libs/traffic/answer_relay.cc
@@ -10,7 +10,7 @@
 namespace chestnutport::traffic {
 namespace {
 
-constexpr uint64_t kLargestCollected = 64 * 1024;
+constexpr uint64_t kMaxCollectedBytes = 64 * 1024;
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
 
@@ -30,13 +30,13 @@
 
 }  // namespace
 
-bool IsRelayed(std::string_view method, const net::HttpAnswer& head) {
+bool ShouldRelay(std::string_view method, const net::HttpAnswer& head) {
   if (method == "HEAD" || head.status == kNoContent ||
       head.status == kNotModified) {
     return false;
   }
   const auto length = LengthOf(head);
-  return !length || *length > kLargestCollected;
+  return !length || *length > kMaxCollectedBytes;
 }
 
 AnswerRelay::AnswerRelay(net::HttpClient& client,
@@ -56,7 +56,7 @@
 }
 
 bool AnswerRelay::Write(std::string_view part) {
-  if (reply_.buffered() >= kLargestBuffer)
+  if (reply_.buffered() >= kMaxBufferedBytes)
     return false;
   reply_.Write(part);
   return true;
--- a/src/libs/traffic/answer_relay.h
+++ b/src/libs/traffic/answer_relay.h
@@ -15,14 +15,14 @@
 // Whether an answer to `method` is handed on as it comes: it is larger than
 // 64 KB, or of unknown length. Others are collected and sent whole, so that
 // one that is cut can still be replaced.
-bool IsRelayed(std::string_view method, const net::HttpAnswer& head);
+bool ShouldRelay(std::string_view method, const net::HttpAnswer& head);
 
 // Belongs to the transfer's callbacks. If the transfer is cut, so is the
 // reply's connection: the caller never takes a part for the whole.
 class AnswerRelay {
  public:
   // Bytes kept for a receiver that reads slowly, plus one part of the body.
-  static constexpr size_t kLargestBuffer = 256 * 1024;
+  static constexpr size_t kMaxBufferedBytes = 256 * 1024;
 
   // Sends the head at once. `on_gone` is called if the receiver goes away;
   // from then on what comes is dropped. `client` must outlive the relay.
--- a/src/libs/traffic/peer_paths.h
+++ b/src/libs/traffic/peer_paths.h
@@ -6,8 +6,8 @@
 namespace chestnutport::traffic {
 
 // The question whether a gate has a place, and the status that says so.
-inline constexpr char kInquiryPath[] = "/chestnutport/place";
-inline constexpr int kPlaceFree = 204;
+inline constexpr char kCapacityInquiryPath[] = "/chestnutport/place";
+inline constexpr int kCapacityAvailable = 204;
 
 // The question what became of an attempt.
 inline constexpr char kSettlePath[] = "/chestnutport/settle";
--- a/src/libs/traffic/running_requests.cc
+++ b/src/libs/traffic/running_requests.cc
@@ -19,7 +19,7 @@
   return !ended.empty() && ended.mapped().has_failed_call;
 }
 
-std::optional<std::string> RunningRequests::ClassAbove(
+std::optional<std::string> RunningRequests::ClassOfParent(
     std::string_view name) const {
   const std::lock_guard lock(mutex_);
   const std::string* parent = ParentOf(name);
--- a/src/libs/traffic/running_requests.h
+++ b/src/libs/traffic/running_requests.h
@@ -25,10 +25,10 @@
   bool OnEnded(const std::string& name);
 
   // Whether the server makes the call `name` for a request that it runs.
-  bool IsNested(std::string_view name) const { return !!ClassAbove(name); }
+  bool IsNested(std::string_view name) const { return !!ClassOfParent(name); }
   // The class of the request that the server makes the call for; nothing: it is
   // no such call.
-  std::optional<std::string> ClassAbove(std::string_view name) const;
+  std::optional<std::string> ClassOfParent(std::string_view name) const;
   // The call `name` got no good answer.
   void OnCallFailed(std::string_view name);
 
--- a/tests/auto/admission/admission_property_test.cc
+++ b/tests/auto/admission/admission_property_test.cc
@@ -52,8 +52,8 @@
   AdmissionOptions options;
   options.slots = kSlots;
   options.queue = kQueue;
-  options.ledger.ends = 4;  // So that ends are forgotten early.
-  options.ledger.memory = milliseconds(40);
+  options.ledger.max_finished = 4;  // So that ends are forgotten early.
+  options.ledger.retention = milliseconds(40);
   options.shares.classes = {{"flood-watch", 1}, {"bulk", 2}};
   return options;
 }
--- a/tests/auto/admission/admission_story_test.cc
+++ b/tests/auto/admission/admission_story_test.cc
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "admission/admission_controller.h"
-#include "admission/freeze_watch.h"
+#include "admission/pause_detector.h"
 
 namespace chestnutport::admission {
 namespace {
@@ -99,7 +99,7 @@
 
 TEST_CASE("a node that was stopped sends nothing late") {
   AdmissionController admission({});
-  FreezeWatch watch(kStart);
+  PauseDetector watch(kStart);
   const AttemptId id{1, 1};
 
   SECTION("between the decision and the sending") {
@@ -112,15 +112,17 @@
   }
 
   SECTION("while a request waited unread") {
-    watch.Look(kStart + milliseconds(10));
-    CHECK(watch.UnseenWait(kStart + milliseconds(10)) ==
+    watch.Update(kStart + milliseconds(10));
+    CHECK(watch.UnobservedDelay(kStart + milliseconds(10)) ==
           base::Duration::zero());
     const Instant resumed = kStart + seconds(5);
-    watch.Look(resumed);
-    const Instant deadline = resumed + seconds(2) - watch.UnseenWait(resumed);
+    watch.Update(resumed);
+    const Instant deadline =
+        resumed + seconds(2) - watch.UnobservedDelay(resumed);
     CHECK(admission.Arrive({id, "", "", deadline}, resumed).at(0).error ==
           ErrorKind::kDeadlineTooClose);
-    CHECK(watch.UnseenWait(resumed + seconds(2)) == base::Duration::zero());
+    CHECK(watch.UnobservedDelay(resumed + seconds(2)) ==
+          base::Duration::zero());
   }
 }
 
--- a/tests/auto/admission/attempt_ledger_test.cc
+++ b/tests/auto/admission/attempt_ledger_test.cc
@@ -16,7 +16,7 @@
 
 TEST_CASE("an attempt is remembered after its end") {
   AdmissionOptions options;
-  options.ledger.ends = 100;
+  options.ledger.max_finished = 100;
   AdmissionController admission(options);
   const auto arrive = [&](AttemptId id, Instant now) {
     return admission.Arrive({id, "", "", now + seconds(1)}, now).at(0);
@@ -66,7 +66,7 @@
 
 TEST_CASE("the ledger's memory is bounded") {
   LedgerLimits limits;
-  limits.ends = 1000;
+  limits.max_finished = 1000;
   limits.origins = 50;
   AttemptLedger ledger(limits);
   for (uint64_t i = 0; i < 5000; ++i) {
--- a/tests/auto/admission/body_placement_test.cc
+++ b/tests/auto/admission/body_placement_test.cc
@@ -118,12 +118,12 @@
   void Inquire(size_t index, const Request& request) {
     if (HandsBack(index, request))
       After(kHop, [this, request] { Move(request); });
-    else if (!gates_[index].admission.Judge(ToArrival(request), now_))
+    else if (!gates_[index].admission.CheckRefusal(ToArrival(request), now_))
       After(kHop, [this, index, request] { Carry(index, request); });
   }
 
   bool HandsBack(size_t index, const Request& request) const {
-    const bool is_full = !gates_[index].admission.HasRoom(now_);
+    const bool is_full = !gates_[index].admission.HasCapacity(now_);
     return (IsSlow(index) && request.moves < calls::kUsualMoves.if_poor) ||
            (is_full && request.moves < moves_if_full_);
   }
--- a/tests/auto/admission/cold_fleet_test.cc
+++ b/tests/auto/admission/cold_fleet_test.cc
@@ -8,7 +8,7 @@
 #include <random>
 #include <vector>
 
-#include "admission/server_pace.h"
+#include "admission/server_performance.h"
 #include "base/random.h"
 #include "calls/move_limits.h"
 #include "routing/recent_strain.h"
@@ -49,10 +49,10 @@
 
   void Serve(routing::RecentStrain& node, Instant now) {
     for (int move = 0;; ++move, now += kMove) {
-      ServerPace& gate = Any(gates_);
+      ServerPerformance& gate = Any(gates_);
       if (!std::bernoulli_distribution(kWithoutWord)(random_))
         gate.OnSlowness(kCold, now);
-      const bool is_poor = gate.IsPoor(now, node.usual());
+      const bool is_poor = gate.IsDegraded(now, node.usual());
       if (const auto strain = gate.KnownStrain(now))
         node.OnReport(*strain);
       if (move >= calls::kUsualMoves.if_poor || !is_poor)
@@ -62,7 +62,7 @@
   }
 
   base::Random random_{20261203};
-  std::vector<ServerPace> gates_;
+  std::vector<ServerPerformance> gates_;
   std::vector<routing::RecentStrain> nodes_;  // What each node takes for usual.
   int moves_ = 0;
 };
--- a/tests/auto/admission/cold_limit_test.cc
+++ b/tests/auto/admission/cold_limit_test.cc
@@ -22,7 +22,9 @@
 using std::chrono::seconds;
 
 constexpr Instant kStart = Instant(std::chrono::hours(1));
-constexpr ColdOptions kCold{.rate = 24, .burst = 8, .after_start = seconds(3)};
+constexpr ColdStartOptions kCold{.rate = 24,
+                                 .burst = 8,
+                                 .after_start = seconds(3)};
 constexpr milliseconds kTick(10);
 constexpr milliseconds kWork(65);
 
@@ -118,41 +120,41 @@
 TEST_CASE("the server's own word counts, not its start") {
   AdmissionController admission(ColdServer());
   admission.OnServerStarted(kStart);
-  ColdLimit& cold = admission.cold();
+  ColdStartLimiter& cold = admission.cold_limiter();
 
   SECTION("it is warm at once") {
-    cold.OnTold({}, kStart);
+    cold.OnReported({}, kStart);
     CHECK_FALSE(cold.IsCold(kStart));
   }
   SECTION("it stays cold for longer") {
-    cold.OnTold(seconds(5), kStart + seconds(1));
+    cold.OnReported(seconds(5), kStart + seconds(1));
     CHECK(cold.IsCold(kStart + seconds(5)));
     CHECK_FALSE(cold.IsCold(kStart + seconds(6)));
   }
   SECTION("a late word changes nothing") {
-    cold.OnTold({}, kStart + seconds(1));
-    cold.OnTold(seconds(3), kStart);
+    cold.OnReported({}, kStart + seconds(1));
+    cold.OnReported(seconds(3), kStart);
     CHECK_FALSE(cold.IsCold(kStart + seconds(1)));
   }
 }
 
 TEST_CASE("a health check that finds no sign of it ends what was only likely") {
-  ColdLimit cold(kCold);
+  ColdStartLimiter cold(kCold);
   cold.OnServerStarted(kStart);
 
   SECTION("after a start, or beside a node that started") {
-    cold.OnHealthyWithoutWord(kStart + milliseconds(5));
+    cold.OnHealthyWithoutReport(kStart + milliseconds(5));
     CHECK_FALSE(cold.IsCold(kStart + milliseconds(5)));
   }
   SECTION("but not what the server said itself") {
-    cold.OnTold(seconds(3), kStart);
-    cold.OnHealthyWithoutWord(kStart + milliseconds(5));
+    cold.OnReported(seconds(3), kStart);
+    cold.OnHealthyWithoutReport(kStart + milliseconds(5));
     CHECK(cold.IsCold(kStart + milliseconds(5)));
   }
   SECTION("nor that of a server in doubt that had said so") {
-    cold.OnTold(seconds(3), kStart);
-    cold.Doubt(kStart + seconds(1));
-    cold.OnHealthyWithoutWord(kStart + seconds(1));
+    cold.OnReported(seconds(3), kStart);
+    cold.AssumeCold(kStart + seconds(1));
+    cold.OnHealthyWithoutReport(kStart + seconds(1));
     CHECK(cold.IsCold(kStart + seconds(1)));
   }
 }
@@ -161,7 +163,7 @@
   Rush rush(ColdServer());
   rush.Play(kStart, kStart + seconds(2), milliseconds(2));
   const Instant cold_at = kStart + seconds(2);
-  rush.admission.cold().OnTold(seconds(3), cold_at);
+  rush.admission.cold_limiter().OnReported(seconds(3), cold_at);
   rush.starts.clear();
   rush.Play(cold_at, cold_at + seconds(3), milliseconds(2));
   CHECK(MostInASecond(rush.starts) <= 32);
@@ -175,11 +177,11 @@
 }
 
 TEST_CASE("a server in doubt is taken for cold until it says that it is not") {
-  ColdLimit cold(kCold);
+  ColdStartLimiter cold(kCold);
   CHECK_FALSE(cold.IsCold(kStart));
-  cold.Doubt(kStart);
+  cold.AssumeCold(kStart);
   CHECK(cold.IsCold(kStart + milliseconds(100)));
-  cold.OnTold({}, kStart + milliseconds(200));
+  cold.OnReported({}, kStart + milliseconds(200));
   CHECK_FALSE(cold.IsCold(kStart + milliseconds(200)));
 }
 
@@ -188,7 +190,7 @@
   admission.OnServerStarted(kStart);
   for (int i = 0; i < 8; ++i)
     admission.OnProbed(kStart);
-  CHECK_FALSE(admission.HasRoom(kStart));
+  CHECK_FALSE(admission.HasCapacity(kStart));
 }
 
 // Twice what the server tolerates; a fifth of it is urgent, and comes between
--- a/tests/auto/admission/concurrency_limit_test.cc
+++ b/tests/auto/admission/concurrency_limit_test.cc
@@ -123,8 +123,8 @@
 TEST_CASE("a server that just started is warmed up") {
   const Instant start{std::chrono::hours(1)};
   ConcurrencyLimit limit(kSlots);
-  limit.set_cold_ramp(seconds(10));
-  limit.StartCold(start);
+  limit.set_warm_up_time(seconds(10));
+  limit.StartWarmUp(start);
   CHECK(limit.Limit(start) == 3);
   CHECK(limit.Limit(start + seconds(5)) == 7);
   CHECK(limit.Limit(start + seconds(10)) == kSlots);
--- a/tests/auto/admission/fair_queue_test.cc
+++ b/tests/auto/admission/fair_queue_test.cc
@@ -21,7 +21,7 @@
            const std::string& tenant,
            int deadline_ms,
            int times = 1) {
-    const FlowId flow = queue_.Flow(traffic_class, tenant);
+    const FlowId flow = queue_.FlowFor(traffic_class, tenant);
     for (int i = 0; i < times; ++i) {
       queue_.Push({{1, ++last_}, flow, kStart + milliseconds(deadline_ms)});
       names_[last_] = traffic_class + tenant;
@@ -63,9 +63,9 @@
 
   SECTION("a tenant with dear requests gets fewer of them") {
     for (int i = 0; i < 200; ++i) {
-      waiting.queue().OnServed(waiting.queue().Flow("", "firm-b"),
+      waiting.queue().OnServed(waiting.queue().FlowFor("", "firm-b"),
                                milliseconds(10));
-      waiting.queue().OnServed(waiting.queue().Flow("", "other"),
+      waiting.queue().OnServed(waiting.queue().FlowFor("", "other"),
                                milliseconds(40));
     }
     auto counts = waiting.Next(300);
@@ -126,7 +126,7 @@
 TEST_CASE("invented tenants cannot grow memory") {
   Waiting waiting({});
   for (int i = 0; i < 10000; ++i)
-    waiting.queue().Flow("", "tenant" + std::to_string(i));
+    waiting.queue().FlowFor("", "tenant" + std::to_string(i));
   CHECK(waiting.queue().flows() <= 257);
 }
 
--- a/tests/auto/admission/gate_test.cc
+++ b/tests/auto/admission/gate_test.cc
@@ -7,7 +7,7 @@
 #include <array>
 #include <catch2/catch.hpp>
 
-#include "support/gate_scene.h"
+#include "support/gate_fixture.h"
 #include "traffic/peer_paths.h"
 #include "wire/header_names.h"
 #include "wire/load_report.h"
@@ -56,34 +56,36 @@
 };
 
 TEST_CASE("a gate hands requests to its server") {
-  GateScene scene;
+  GateFixture fixture;
 
   SECTION("with the time that is left as a duration") {
-    CHECK(Outcome(scene.Run("GET")) == "answered");
+    CHECK(Outcome(fixture.Run("GET")) == "answered");
     CHECK_FALSE(
-        FindHeader(scene.served[0].headers, wire::kDeadlineHeader).empty());
-    CHECK(FindHeader(scene.served[0].headers, wire::kSignatureHeader).empty());
+        FindHeader(fixture.served[0].headers, wire::kDeadlineHeader).empty());
+    CHECK(
+        FindHeader(fixture.served[0].headers, wire::kSignatureHeader).empty());
   }
 
   SECTION("a plain 503 is the server's answer") {
-    scene.answer.status = 503;
-    const auto result = scene.Run("POST");
+    fixture.answer.status = 503;
+    const auto result = fixture.Run("POST");
     CHECK(result.answer.status == 503);
     CHECK(Outcome(result) == "answered");
   }
 
   SECTION("a server fails by itself, or by a call that it made") {
-    scene.answer.status = 500;
+    fixture.answer.status = 500;
     const bool is_calls_fault = GENERATE(false, true);
-    scene.serving = [&] {
+    fixture.on_request = [&] {
       if (is_calls_fault)
-        scene.running.OnCallFailed(scene.served.size() == 1 ? "r1.1" : "r2.1");
+        fixture.running.OnCallFailed(fixture.served.size() == 1 ? "r1.1"
+                                                                : "r2.1");
     };
-    const auto result = scene.Run("POST");
+    const auto result = fixture.Run("POST");
     CHECK(result.answer.status == 500);
     CHECK(FindHeader(result.answer.headers, wire::kCallFailedHeader).empty() !=
           is_calls_fault);
-    const auto next = scene.Run("POST");
+    const auto next = fixture.Run("POST");
     const auto load = wire::LoadReport::FromHeader(
         FindHeader(next.answer.headers, wire::kLoadHeader));
     REQUIRE(load);
@@ -91,157 +93,160 @@
   }
 
   SECTION("a 503 marked as not run is a refusal") {
-    scene.answer.status = 503;
-    scene.answer.headers = {{wire::kOutcomeHeader, "not-run"}};
-    const auto result = scene.Run("POST");
+    fixture.answer.status = 503;
+    fixture.answer.headers = {{wire::kOutcomeHeader, "not-run"}};
+    const auto result = fixture.Run("POST");
     CHECK(Outcome(result) == "not-run");
     CHECK(Error(result) == "server-shed");
   }
 
   SECTION("an answer that is too large for the receiver is never whole") {
-    scene.answer.body.assign(9 * 1024 * 1024, 'x');
-    CHECK(scene.Run("POST").end == net::TransferEnd::kLost);
+    fixture.answer.body.assign(9 * 1024 * 1024, 'x');
+    CHECK(fixture.Run("POST").end == net::TransferEnd::kLost);
   }
 
   SECTION("a server that is not there did not run it") {
-    scene.state.address.port = 1;
-    scene.Apply();
-    CHECK(Error(scene.Run("POST")) == "connect-failed");
-    CHECK(scene.Settle({1, 1}, true) == "never-runs");
+    fixture.state.address.port = 1;
+    fixture.Apply();
+    CHECK(Error(fixture.Run("POST")) == "connect-failed");
+    CHECK(fixture.Settle({1, 1}, true) == "never-runs");
   }
 
   SECTION("one that leaves gets nothing new, and says when it is empty") {
-    scene.state.draining = true;
-    scene.Apply();
-    CHECK(Error(scene.Run("POST")) == "draining");
-    scene.state.draining = false;
-    scene.Apply();
-    CHECK(Outcome(scene.Run("POST")) == "answered");
+    fixture.state.draining = true;
+    fixture.Apply();
+    CHECK(Error(fixture.Run("POST")) == "draining");
+    fixture.state.draining = false;
+    fixture.Apply();
+    CHECK(Outcome(fixture.Run("POST")) == "answered");
   }
 }
 
 TEST_CASE("a gate that is asked whether it has a place") {
-  GateScene scene;
-  scene.silent = true;
-  scene.state.admission.slots = 1;
-  scene.state.admission.adaptive = false;
-  scene.Apply();
+  GateFixture fixture;
+  fixture.is_silent = true;
+  fixture.state.admission.slots = 1;
+  fixture.state.admission.adaptive = false;
+  fixture.Apply();
 
   SECTION("says so while it has, and keeps nothing of it") {
-    CHECK(scene.Inquire().answer.status == traffic::kPlaceFree);
-    CHECK(scene.Inquire().answer.status == traffic::kPlaceFree);
-    CHECK(scene.served.empty());
-    CHECK(scene.Settle({1, 1}, false) == "unknown-here");
+    CHECK(fixture.InquireCapacity().answer.status ==
+          traffic::kCapacityAvailable);
+    CHECK(fixture.InquireCapacity().answer.status ==
+          traffic::kCapacityAvailable);
+    CHECK(fixture.served.empty());
+    CHECK(fixture.Settle({1, 1}, false) == "unknown-here");
   }
 
   SECTION("whose server is full") {
-    scene.Begin("POST");
-    REQUIRE(scene.Until([&] { return scene.served.size() == 1; }));
+    fixture.Begin("POST");
+    REQUIRE(fixture.RunUntil([&] { return fixture.served.size() == 1; }));
 
     SECTION("hands the question back") {
-      CHECK(Error(scene.Inquire()) == "server-slow");
+      CHECK(Error(fixture.InquireCapacity()) == "server-slow");
     }
     SECTION("refuses what would be late") {
-      scene.inquiry_may_move = false;
-      const auto refused = scene.Inquire();
+      fixture.inquiry_may_move = false;
+      const auto refused = fixture.InquireCapacity();
       CHECK(Error(refused) == "overloaded");
       CHECK(Outcome(refused) == "not-run");
     }
   }
 
   SECTION("whose server leaves") {
-    scene.state.draining = true;
-    scene.Apply();
-    CHECK(Error(scene.Inquire()) == "draining");
+    fixture.state.draining = true;
+    fixture.Apply();
+    CHECK(Error(fixture.InquireCapacity()) == "draining");
   }
 }
 
 TEST_CASE("an attempt that waits for a connection to its server") {
-  GateScene scene;
+  GateFixture fixture;
   const FullListener full;
-  scene.state.address = full.address();
-  ++scene.state.life;
-  scene.Apply();
-  const auto waiting = scene.Begin("POST");
-  REQUIRE(
-      scene.Until([&] { return scene.Settle(waiting, false) == "running"; }));
+  fixture.state.address = full.address();
+  ++fixture.state.life;
+  fixture.Apply();
+  const auto waiting = fixture.Begin("POST");
+  REQUIRE(fixture.RunUntil(
+      [&] { return fixture.Settle(waiting, false) == "running"; }));
 
   SECTION("never runs if it is cancelled, though it may not be cut off") {
-    CHECK(scene.Settle(waiting, true, false) == "never-runs");
-    REQUIRE(scene.Until([&] { return scene.results.contains(1); }));
-    CHECK(Error(scene.results[1]) == "cancelled");
+    CHECK(fixture.Settle(waiting, true, false) == "never-runs");
+    REQUIRE(fixture.RunUntil([&] { return fixture.results.contains(1); }));
+    CHECK(Error(fixture.results[1]) == "cancelled");
   }
 
   SECTION("never runs if the other node goes away") {
-    scene.Leave(0);
-    CHECK(scene.Until(
-        [&] { return scene.Settle(waiting, false) == "never-runs"; }));
+    fixture.DisconnectPeer(0);
+    CHECK(fixture.RunUntil(
+        [&] { return fixture.Settle(waiting, false) == "never-runs"; }));
   }
 }
 
 TEST_CASE("an attempt on a slow server") {
-  GateScene scene;
-  scene.silent = true;
-  scene.state.admission.slots = 1;
-  scene.Apply();
-  const auto running = scene.Begin("POST");
-  REQUIRE(scene.Until([&] { return scene.served.size() == 1; }));
-  const auto queued = scene.Begin("POST");
-  REQUIRE(scene.Until([&] { return scene.Settle(queued, false) == "queued"; }));
+  GateFixture fixture;
+  fixture.is_silent = true;
+  fixture.state.admission.slots = 1;
+  fixture.Apply();
+  const auto running = fixture.Begin("POST");
+  REQUIRE(fixture.RunUntil([&] { return fixture.served.size() == 1; }));
+  const auto queued = fixture.Begin("POST");
+  REQUIRE(fixture.RunUntil(
+      [&] { return fixture.Settle(queued, false) == "queued"; }));
 
   SECTION("can be asked about") {
-    CHECK(scene.Settle(running, false) == "running");
-    CHECK(scene.Settle({1, 99}, false) == "unknown-here");
+    CHECK(fixture.Settle(running, false) == "running");
+    CHECK(fixture.Settle({1, 99}, false) == "unknown-here");
   }
 
   SECTION("never runs if it is cancelled in the queue") {
-    CHECK(scene.Settle(queued, true) == "never-runs");
-    REQUIRE(scene.Until([&] { return scene.results.contains(2); }));
-    CHECK(Error(scene.results[2]) == "cancelled");
-    CHECK(scene.served.size() == 1);
+    CHECK(fixture.Settle(queued, true) == "never-runs");
+    REQUIRE(fixture.RunUntil([&] { return fixture.results.contains(2); }));
+    CHECK(Error(fixture.results[2]) == "cancelled");
+    CHECK(fixture.served.size() == 1);
   }
 
   SECTION("is cut off at the server if it is cancelled while it runs") {
-    CHECK(scene.Settle(running, true) == "running");
-    CHECK(scene.Until([&] { return scene.gone == 1; }));
-    CHECK(Outcome(scene.results[1]) == "unknown");
-    CHECK(scene.Settle(running, false) == "finished");
-    CHECK(scene.Until([&] { return scene.served.size() == 2; }));
+    CHECK(fixture.Settle(running, true) == "running");
+    CHECK(fixture.RunUntil([&] { return fixture.closed_requests == 1; }));
+    CHECK(Outcome(fixture.results[1]) == "unknown");
+    CHECK(fixture.Settle(running, false) == "finished");
+    CHECK(fixture.RunUntil([&] { return fixture.served.size() == 2; }));
   }
 
   SECTION("leaves the queue when the other node goes away") {
-    scene.Leave(1);
-    CHECK(scene.Until(
-        [&] { return scene.Settle(queued, false) == "never-runs"; }));
+    fixture.DisconnectPeer(1);
+    CHECK(fixture.RunUntil(
+        [&] { return fixture.Settle(queued, false) == "never-runs"; }));
   }
 
   SECTION("is not cut off with the other node if it may change something") {
-    scene.Leave(0);
-    CHECK(scene.Settle(running, false) == "running");
-    CHECK(scene.gone == 0);
+    fixture.DisconnectPeer(0);
+    CHECK(fixture.Settle(running, false) == "running");
+    CHECK(fixture.closed_requests == 0);
   }
 
   SECTION("a drain refuses what waits and lets the other finish") {
-    scene.state.draining = true;
-    scene.Apply();
-    REQUIRE(scene.Until([&] { return scene.results.contains(2); }));
-    CHECK(Error(scene.results[2]) == "draining");
-    scene.held[0].Send({.body = "whole"});
-    REQUIRE(scene.Until([&] { return scene.results.contains(1); }));
-    CHECK(scene.results[1].answer.body == "whole");
+    fixture.state.draining = true;
+    fixture.Apply();
+    REQUIRE(fixture.RunUntil([&] { return fixture.results.contains(2); }));
+    CHECK(Error(fixture.results[2]) == "draining");
+    fixture.pending_replies[0].Send({.body = "whole"});
+    REQUIRE(fixture.RunUntil([&] { return fixture.results.contains(1); }));
+    CHECK(fixture.results[1].answer.body == "whole");
   }
 }
 
 TEST_CASE("a gate probes its server when there is no traffic") {
-  GateScene scene;
-  scene.state.health_path = "/health";
-  scene.Apply();
-  REQUIRE(scene.Until([&] { return scene.report.probes == 1; }));
-  CHECK(scene.served[0].target == "/health");
-  CHECK(scene.report.probe_time <= milliseconds(50));
+  GateFixture fixture;
+  fixture.state.health_path = "/health";
+  fixture.Apply();
+  REQUIRE(fixture.RunUntil([&] { return fixture.report.probes == 1; }));
+  CHECK(fixture.served[0].target == "/health");
+  CHECK(fixture.report.probe_time <= milliseconds(50));
 
   SECTION("and not at all without a budget") {
-    GateScene frugal;
+    GateFixture frugal;
     frugal.state.health_path = "/health";
     frugal.state.probes.budget = 0;
     frugal.Apply();
--- a/tests/auto/admission/pace_placement_test.cc
+++ b/tests/auto/admission/pace_placement_test.cc
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "admission/probe_scheduler.h"
-#include "admission/server_pace.h"
+#include "admission/server_performance.h"
 #include "base/random.h"
 #include "calls/move_limits.h"
 #include "routing/recent_strain.h"
@@ -52,7 +52,7 @@
 
  public:
   ProbeScheduler probes;
-  ServerPace pace;
+  ServerPerformance pace;
 };
 
 struct Way {
@@ -105,9 +105,9 @@
     for (int move = 0;; ++move, now += kMove) {
       Server& server = servers_[std::uniform_int_distribution<size_t>(
           0, kServers - 1)(random_)];
-      if (server.probes.IsStale(now) && server.probes.BeginLook(now))
+      if (server.probes.IsStale(now) && server.probes.StartOnDemand(now))
         EndProbe(server, now);
-      const bool is_poor = server.pace.IsPoor(now, usual_.usual());
+      const bool is_poor = server.pace.IsDegraded(now, usual_.usual());
       usual_.OnReport(server.pace.Slowness(now));
       if (move >= way_.most_moves || !is_poor) {
         moves_ += move;
--- a/tests/auto/admission/server_pace_test.cc
+++ b/tests/auto/admission/server_pace_test.cc
@@ -1,5 +1,5 @@
 // What a gate knows of its server's pace, and how fast it forgets.
-#include "admission/server_pace.h"
+#include "admission/server_performance.h"
 
 #include <catch2/catch.hpp>
 
@@ -11,17 +11,17 @@
 constexpr base::Instant kStart = base::Instant(std::chrono::hours(1));
 
 TEST_CASE("a server is poor while its VM is slow") {
-  ServerPace pace;
-  CHECK_FALSE(pace.IsPoor(kStart));
+  ServerPerformance pace;
+  CHECK_FALSE(pace.IsDegraded(kStart));
   pace.OnSlowness(4, kStart);
-  CHECK(pace.IsPoor(kStart + milliseconds(100)));
+  CHECK(pace.IsDegraded(kStart + milliseconds(100)));
 
   SECTION("until it says otherwise") {
     pace.OnSlowness(1, kStart + milliseconds(50));
-    CHECK_FALSE(pace.IsPoor(kStart + milliseconds(50)));
+    CHECK_FALSE(pace.IsDegraded(kStart + milliseconds(50)));
   }
   SECTION("and no longer than its word is worth") {
-    CHECK_FALSE(pace.IsPoor(kStart + milliseconds(200)));
+    CHECK_FALSE(pace.IsDegraded(kStart + milliseconds(200)));
     CHECK(pace.Slowness(kStart + milliseconds(200)) == 1);
   }
   SECTION("and an old word is told to nobody, least of all as a good one") {
@@ -29,18 +29,18 @@
     CHECK_FALSE(pace.KnownStrain(kStart + milliseconds(200)));
   }
   SECTION("unless the others are as slow") {
-    CHECK_FALSE(pace.IsPoor(kStart, 4));
+    CHECK_FALSE(pace.IsDegraded(kStart, 4));
     pace.OnSlowness(8, kStart);
-    CHECK(pace.IsPoor(kStart, 4));
+    CHECK(pace.IsDegraded(kStart, 4));
   }
   SECTION("a little slower than usual is not slow") {
     pace.OnSlowness(1.5, kStart);
-    CHECK_FALSE(pace.IsPoor(kStart));
+    CHECK_FALSE(pace.IsDegraded(kStart));
   }
 }
 
 TEST_CASE("of a server that said nothing yet, nothing is told") {
-  ServerPace pace;
+  ServerPerformance pace;
   CHECK_FALSE(pace.KnownStrain(kStart));
 
   SECTION("until it has answered a request") {
@@ -50,48 +50,48 @@
 }
 
 TEST_CASE("a probe without an answer says that the server is slow") {
-  ServerPace pace;
-  pace.OnSilentProbe(kStart);
-  CHECK(pace.IsPoor(kStart));
+  ServerPerformance pace;
+  pace.OnProbeTimeout(kStart);
+  CHECK(pace.IsDegraded(kStart));
 }
 
 TEST_CASE(
     "a server that fails its requests is poor, though it says it is well") {
-  ServerPace pace;
+  ServerPerformance pace;
   pace.OnSlowness(1, kStart);
   pace.OnResult(false, kStart);
-  CHECK_FALSE(pace.IsPoor(kStart));  // One failure is nobody's fault.
+  CHECK_FALSE(pace.IsDegraded(kStart));  // One failure is nobody's fault.
   pace.OnResult(false, kStart);
-  CHECK(pace.IsPoor(kStart));
+  CHECK(pace.IsDegraded(kStart));
 
   SECTION("unless the others fail as many") {
     CHECK(pace.Strain(kStart) > 1.5);
-    CHECK_FALSE(pace.IsPoor(kStart, pace.Strain(kStart)));
+    CHECK_FALSE(pace.IsDegraded(kStart, pace.Strain(kStart)));
   }
   SECTION("and slow besides, it is worse still") {
     pace.OnSlowness(2, kStart);
-    CHECK(pace.IsPoor(kStart, 1.5));
+    CHECK(pace.IsDegraded(kStart, 1.5));
   }
   SECTION("it is tried again in a while") {
-    CHECK_FALSE(pace.IsPoor(kStart + milliseconds(1500)));
+    CHECK_FALSE(pace.IsDegraded(kStart + milliseconds(1500)));
   }
   SECTION("good answers clear it") {
     for (int i = 0; i < 5; ++i)
       pace.OnResult(true, kStart);
-    CHECK_FALSE(pace.IsPoor(kStart));
+    CHECK_FALSE(pace.IsDegraded(kStart));
   }
   SECTION("another start of it begins anew") {
     pace.Reset();
-    CHECK_FALSE(pace.IsPoor(kStart));
+    CHECK_FALSE(pace.IsDegraded(kStart));
   }
 }
 
 TEST_CASE("a few failures in a hundred do not count") {
-  ServerPace pace;
+  ServerPerformance pace;
   for (int i = 0; i < 300; ++i) {
     const auto now = kStart + milliseconds(10) * i;
     pace.OnResult(i % 25 != 0, now);
-    CHECK_FALSE(pace.IsPoor(now));
+    CHECK_FALSE(pace.IsDegraded(now));
   }
 }
 
--- a/tests/auto/admission/server_watch_test.cc
+++ b/tests/auto/admission/server_watch_test.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "admission/probe_scheduler.h"
-#include "admission/server_presence.h"
+#include "admission/server_liveness.h"
 
 namespace chestnutport::admission {
 namespace {
@@ -20,42 +20,42 @@
 constexpr Instant kStart{std::chrono::hours(1)};
 
 TEST_CASE("a server is there while it says so") {
-  ServerPresence presence;
-  CHECK_FALSE(presence.IsPresent(kStart));
+  ServerLiveness presence;
+  CHECK_FALSE(presence.IsAlive(kStart));
   for (int i = 0; i < 20; ++i)
     presence.OnAnnounced(kStart + i * seconds(1));
   const Instant last = kStart + seconds(19);
-  CHECK(presence.IsPresent(last + milliseconds(3400)));
+  CHECK(presence.IsAlive(last + milliseconds(3400)));
 
   SECTION("and gone when three announcements are missing") {
-    CHECK_FALSE(presence.IsPresent(last + milliseconds(3600)));
+    CHECK_FALSE(presence.IsAlive(last + milliseconds(3600)));
   }
 
   SECTION("unless it still answers") {
     presence.OnAnswer(last + seconds(3));
-    CHECK(presence.IsPresent(last + seconds(6)));
-    CHECK_FALSE(presence.IsPresent(last + seconds(7)));
+    CHECK(presence.IsAlive(last + seconds(6)));
+    CHECK_FALSE(presence.IsAlive(last + seconds(7)));
   }
 
   SECTION("and gone at once when it says that it leaves") {
     presence.OnLeft();
-    CHECK_FALSE(presence.IsPresent(last));
+    CHECK_FALSE(presence.IsAlive(last));
   }
 }
 
 TEST_CASE("a server is probed only when traffic is silent") {
   ProbeScheduler probes({0.005, seconds(2)}, kStart - seconds(10));
   probes.OnAnswer(kStart);
-  CHECK_FALSE(probes.Begin(kStart + milliseconds(1999)));
-  CHECK(probes.Begin(kStart + seconds(2)));
-  CHECK_FALSE(probes.Begin(kStart + seconds(9)));  // The first still runs.
+  CHECK_FALSE(probes.StartIfDue(kStart + milliseconds(1999)));
+  CHECK(probes.StartIfDue(kStart + seconds(2)));
+  CHECK_FALSE(probes.StartIfDue(kStart + seconds(9)));  // The first still runs.
   probes.End(milliseconds(6), true, kStart + seconds(9));
   CHECK(probes.probes() == 1);
   CHECK(probes.spent() == milliseconds(6));
 
   SECTION("and never with a budget of nothing") {
     probes.set_options({0, seconds(2)});
-    CHECK_FALSE(probes.Begin(kStart + seconds(30)));
+    CHECK_FALSE(probes.StartIfDue(kStart + seconds(30)));
   }
 }
 
@@ -66,9 +66,9 @@
   CHECK_FALSE(probes.IsStale(kStart + milliseconds(14)));
   CHECK(probes.IsStale(kStart + milliseconds(15)));
   const Instant looked = kStart + milliseconds(20);
-  REQUIRE(probes.BeginLook(looked));
+  REQUIRE(probes.StartOnDemand(looked));
   CHECK(probes.IsRunning());
-  CHECK_FALSE(probes.BeginLook(looked));  // One at a time.
+  CHECK_FALSE(probes.StartOnDemand(looked));  // One at a time.
 
   SECTION("which then holds for a while") {
     probes.End(milliseconds(1), true, looked);
@@ -82,7 +82,7 @@
   SECTION("and not beyond the budget") {
     probes.End(milliseconds(1), true, looked);
     probes.set_options({0, milliseconds(250), milliseconds(15)});
-    CHECK_FALSE(probes.BeginLook(looked + milliseconds(50)));
+    CHECK_FALSE(probes.StartOnDemand(looked + milliseconds(50)));
   }
   SECTION("and not where it is not declared") {
     probes.set_options({0.2, milliseconds(250)});
@@ -97,7 +97,7 @@
     ProbeScheduler probes({0.005, seconds(2)}, began);
     for (Instant now = began; now < began + seconds(3);
          now += milliseconds(10)) {
-      if (const auto allowed = probes.Begin(now))
+      if (const auto allowed = probes.StartIfDue(now))
         probes.End(*allowed, false, now);
     }
     spent += probes.spent();
@@ -123,13 +123,13 @@
   Duration worst{};
   for (const auto& [pause_ms, share] : steps) {
     now += milliseconds(pause_ms);
-    const auto allowed = probes.Begin(now);
+    const auto allowed = probes.StartIfDue(now);
     if (!allowed)
       continue;
     const Duration cost = *allowed * share / 100;
     probes.End(cost, share < 50, now + cost);
     spent.emplace_back(now, cost);
-    while (spent.front().first + kProbeWindow <= now)
+    while (spent.front().first + kProbeBudgetWindow <= now)
       spent.pop_front();
     Duration sum{};
     for (const auto& [begun, each] : spent)
--- a/tests/auto/ingress/ingress_test.cc
+++ b/tests/auto/ingress/ingress_test.cc
@@ -67,12 +67,12 @@
         held_.push_back(std::move(reply));
       return;
     }
-    if (request.target == traffic::kInquiryPath) {
+    if (request.target == traffic::kCapacityInquiryPath) {
       ++inquiries;
       if (behaviour_ == Behaviour::kRefuses)
         reply.Send(net::MakeErrorAnswer(base::ErrorKind::kOverloaded));
       else
-        reply.Send({.status = traffic::kPlaceFree});
+        reply.Send({.status = traffic::kCapacityAvailable});
       return;
     }
     attempts.push_back(std::move(request));
--- a/tests/auto/platform/replaced_server_test.cc
+++ b/tests/auto/platform/replaced_server_test.cc
@@ -17,7 +17,7 @@
 #include <catch2/catch.hpp>
 
 #include "platform/hosted_server_protocol.h"
-#include "support/gate_scene.h"
+#include "support/gate_fixture.h"
 
 namespace chestnutport::test {
 namespace {
@@ -29,18 +29,18 @@
 }
 
 TEST_CASE("a server is started anew while a request to it is on its way") {
-  GateScene scene(
+  GateFixture scene(
       server::AnyServerProtocol::Of(platform::HostedServerProtocol()));
   scene.state.instance = "i-1";
   scene.Apply();
-  scene.silent = true;
+  scene.is_silent = true;
   scene.Begin("GET");
-  REQUIRE(scene.Until([&] { return scene.served.size() == 1; }));
+  REQUIRE(scene.RunUntil([&] { return scene.served.size() == 1; }));
   ++scene.state.life;
   scene.state.instance = "i-2";
   scene.Apply();
-  scene.held[0].Send(RefusalOf("i-2"));
-  REQUIRE(scene.Until([&] { return scene.results.contains(1); }));
+  scene.pending_replies[0].Send(RefusalOf("i-2"));
+  REQUIRE(scene.RunUntil([&] { return scene.results.contains(1); }));
 
   SECTION("the request has not run, and its caller's node is told so") {
     CHECK(Error(scene.results[1]) == "server-replaced");
@@ -48,7 +48,7 @@
   }
 
   SECTION("and the server that was announced gets the next") {
-    scene.silent = false;
+    scene.is_silent = false;
     scene.answer.headers = {{"Response-Signature", "proof"}};
     CHECK(Outcome(scene.Run("GET")) == "answered");
     CHECK(scene.served.size() == 2);
@@ -56,7 +56,7 @@
 }
 
 TEST_CASE("another server answers at the address") {
-  GateScene scene(
+  GateFixture scene(
       server::AnyServerProtocol::Of(platform::HostedServerProtocol()));
   scene.state.instance = "i-1";
   scene.Apply();
--- a/tests/auto/traffic/running_requests_test.cc
+++ b/tests/auto/traffic/running_requests_test.cc
@@ -17,8 +17,8 @@
   }
   SECTION("and it is known how urgent the request above is") {
     running.OnStarted("ab", "urgency-2");
-    CHECK(running.ClassAbove("ab.1") == "urgency-2");
-    CHECK_FALSE(running.ClassAbove("ac.1").has_value());
+    CHECK(running.ClassOfParent("ab.1") == "urgency-2");
+    CHECK_FALSE(running.ClassOfParent("ac.1").has_value());
   }
   SECTION("other requests are not") {
     CHECK_FALSE(running.IsNested("2489dd5a"));
--- a/tests/benchmarks/admission/decision_cost.cc
+++ b/tests/benchmarks/admission/decision_cost.cc
@@ -64,7 +64,7 @@
   static admission::AdmissionOptions Options(int queued) {
     admission::AdmissionOptions options;
     options.queue = queued + 1;
-    options.ledger.ends = 8192;
+    options.ledger.max_finished = 8192;
     options.adaptive = false;
     return options;
   }
--- a/tests/support/gate_scene.cc
+++ b/tests/support/gate_fixture.cc
@@ -1,4 +1,4 @@
-#include "support/gate_scene.h"
+#include "support/gate_fixture.h"
 
 #include <nlohmann/json.hpp>
 #include <stdexcept>
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-GateScene::GateScene(const server::AnyServerProtocol& protocol)
+GateFixture::GateFixture(const server::AnyServerProtocol& protocol)
     : gate_(loop_,
             {kGateId, "a", "poa-a", "south"},
             kKeys,
@@ -72,37 +72,37 @@
   Apply();
 }
 
-GateScene::GateScene()
-    : GateScene(server::AnyServerProtocol::Of(server::OwnServerProtocol())) {}
+GateFixture::GateFixture()
+    : GateFixture(server::AnyServerProtocol::Of(server::OwnServerProtocol())) {}
 
-base::AttemptId GateScene::Begin(const std::string& method,
-                                 base::Duration remaining) {
+base::AttemptId GateFixture::Begin(const std::string& method,
+                                   base::Duration remaining) {
   wire::PeerRequestHead head = MakeHead(++last_);
   head.remaining = remaining;
   return Send(head, method);
 }
 
-base::AttemptId GateScene::BeginGuarded(
+base::AttemptId GateFixture::BeginGuarded(
     const quarantine::GuardedRequest& request) {
   return Send(HeadOf(++last_, request), "GET");
 }
 
-base::AttemptId GateScene::BeginKeyed(const quarantine::GuardedRequest& asked,
-                                      const std::string& key) {
+base::AttemptId GateFixture::BeginKeyed(const quarantine::GuardedRequest& asked,
+                                        const std::string& key) {
   return Send(
       HeadOf(++last_, asked), "POST",
       {{wire::kIdempotencyKeyHeader, key}, {wire::kKeyAgeHeader, "0ms"}});
 }
 
-void GateScene::OwnKeys() {
+void GateFixture::AcquireKeyOwnership() {
   const base::Instant now = base::Clock::now();
   for (base::Instant at = now - seconds(30); at <= now; at += seconds(1))
     gate_.SetKeyView({{kGateId}}, at);
 }
 
-base::AttemptId GateScene::Send(const wire::PeerRequestHead& head,
-                                const std::string& method,
-                                net::HttpHeaders headers) {
+base::AttemptId GateFixture::Send(const wire::PeerRequestHead& head,
+                                  const std::string& method,
+                                  net::HttpHeaders headers) {
   net::HttpRequest request{
       .method = method, .target = "/1", .headers = std::move(headers)};
   head.AppendTo(request.headers, kKeys.current);
@@ -114,7 +114,7 @@
   return head.attempt;
 }
 
-net::TransferResult GateScene::Inquire(
+net::TransferResult GateFixture::InquireCapacity(
     const quarantine::GuardedRequest& asked) {
   wire::PeerRequestHead head = MakeHead(++last_);
   head.fingerprint = asked.fingerprint;
@@ -122,26 +122,27 @@
   head.target_in = milliseconds(1);
   head.may_move = true;
   head.may_move_if_full = inquiry_may_move;
-  net::HttpRequest request{.method = "POST", .target = traffic::kInquiryPath};
+  net::HttpRequest request{.method = "POST",
+                           .target = traffic::kCapacityInquiryPath};
   head.AppendTo(request.headers, kKeys.current);
   const uint64_t id = last_;
   peer_.Send(address_, std::move(request), seconds(10),
              [this, id](const auto& done) { results[id] = done; });
-  if (!Until([&] { return results.contains(id); }))
+  if (!RunUntil([&] { return results.contains(id); }))
     throw std::runtime_error("the inquiry was not answered");
   return results[id];
 }
 
-net::TransferResult GateScene::Run(const std::string& method) {
+net::TransferResult GateFixture::Run(const std::string& method) {
   const uint64_t id = Begin(method).sequence;
-  if (!Until([&] { return results.contains(id); }))
+  if (!RunUntil([&] { return results.contains(id); }))
     throw std::runtime_error("the attempt did not end");
   return results[id];
 }
 
-std::string GateScene::Settle(const base::AttemptId& attempt,
-                              bool cancel,
-                              bool stop_running) {
+std::string GateFixture::Settle(const base::AttemptId& attempt,
+                                bool cancel,
+                                bool stop_running) {
   std::string said = "none";
   wire::PeerRequestHead head;
   head.attempt = attempt;
@@ -161,12 +162,12 @@
                                  &error);
                said = nlohmann::json::parse(text)["state"];
              });
-  if (!Until([&] { return said != "none"; }))
+  if (!RunUntil([&] { return said != "none"; }))
     throw std::runtime_error("the question was not answered");
   return said;
 }
 
-bool GateScene::Until(const std::function<bool()>& holds) {
+bool GateFixture::RunUntil(const std::function<bool()>& holds) {
   for (int i = 0; i < 1000 && !holds(); ++i) {
     loop_.CallAfter(milliseconds(10), [this] { loop_.Stop(); });
     loop_.Run();
@@ -174,15 +175,15 @@
   return holds();
 }
 
-void GateScene::OnServed(net::HttpRequest request, net::Reply reply) {
+void GateFixture::OnServed(net::HttpRequest request, net::Reply reply) {
   served.push_back(std::move(request));
-  serving();
-  if (!silent) {
+  on_request();
+  if (!is_silent) {
     reply.Send(answer);
     return;
   }
-  reply.OnGone([this] { ++gone; });
-  held.push_back(std::move(reply));
+  reply.OnGone([this] { ++closed_requests; });
+  pending_replies.push_back(std::move(reply));
 }
 
 std::string Outcome(const net::TransferResult& result) {
--- a/tests/support/gate_scene.h
+++ b/tests/support/gate_fixture.h
@@ -1,7 +1,7 @@
 // A gate between another node and a server that behaves as a test wants, all on
 // one loop.
-#ifndef SUPPORT_GATE_SCENE_H_
-#define SUPPORT_GATE_SCENE_H_
+#ifndef SUPPORT_GATE_FIXTURE_H_
+#define SUPPORT_GATE_FIXTURE_H_
 
 #include <functional>
 #include <map>
@@ -20,11 +20,11 @@
 
 namespace chestnutport::test {
 
-class GateScene {
+class GateFixture {
  public:
-  explicit GateScene(const server::AnyServerProtocol& protocol);
+  explicit GateFixture(const server::AnyServerProtocol& protocol);
   // Of a server that speaks the product's own protocol.
-  GateScene();
+  GateFixture();
 
   // Tells the gate of `state`.
   void Apply() { gate_.SetServer(state); }
@@ -35,18 +35,19 @@
   // The same of a certain request, by the word of the other node a suspect or
   // not.
   base::AttemptId BeginGuarded(const quarantine::GuardedRequest& request);
-  // The same with an idempotency key; see OwnKeys().
+  // The same with an idempotency key; see AcquireKeyOwnership().
   base::AttemptId BeginKeyed(const quarantine::GuardedRequest& request,
                              const std::string& key);
   // Makes the gate's node the owner of all keys.
-  void OwnKeys();
+  void AcquireKeyOwnership();
   void SetVerdicts(const quarantine::Verdicts& verdicts) {
     gate_.SetVerdicts(std::make_shared<const quarantine::Verdicts>(verdicts));
   }
   // The server ends; nobody listens at its address any more.
   void EndServer() { server_.reset(); }
   // Whether the gate would let a request in.
-  net::TransferResult Inquire(const quarantine::GuardedRequest& request = {});
+  net::TransferResult InquireCapacity(
+      const quarantine::GuardedRequest& request = {});
   // Waits for the end of an attempt.
   net::TransferResult Run(const std::string& method);
   // The state of the attempt, as the gate says.
@@ -54,22 +55,23 @@
                      bool cancel,
                      bool stop_running = true);
   // The other node goes away.
-  void Leave(size_t transfer) { peer_.Cancel(transfers.at(transfer)); }
+  void DisconnectPeer(size_t transfer) { peer_.Cancel(transfers.at(transfer)); }
 
   // Runs until `holds`, for ten seconds at most.
-  bool Until(const std::function<bool()>& holds);
+  bool RunUntil(const std::function<bool()>& holds);
 
-  net::HttpAnswer answer;                 // Of the server.
-  std::function<void()> serving = [] {};  // Called while a request is served.
-  bool silent = false;                    // The server answers nothing.
+  net::HttpAnswer answer;  // Of the server.
+  std::function<void()> on_request = [] {
+  };                       // Called while a request is served.
+  bool is_silent = false;  // The server answers nothing.
   bool inquiry_may_move = true;
   server::ServerState state;
   gate::GateReport report;
   std::vector<quarantine::ServerCrash> crashes;
   std::vector<base::RequestFingerprint> answered_suspects;
   std::vector<net::HttpRequest> served;
-  std::vector<net::Reply> held;
-  int gone = 0;  // Requests whose connection the gate closed.
+  std::vector<net::Reply> pending_replies;
+  int closed_requests = 0;  // Requests whose connection the gate closed.
   std::map<uint64_t, net::TransferResult> results;
   std::vector<net::HttpClient::TransferId> transfers;
 
@@ -98,4 +100,4 @@
 
 }  // namespace chestnutport::test
 
-#endif  // SUPPORT_GATE_SCENE_H_
+#endif  // SUPPORT_GATE_FIXTURE_H_
