--- a/src/libs/admission/admission_action.h
+++ b/src/libs/admission/admission_action.h
@@ -1,4 +1,4 @@
-// What the admission controller wants done with an attempt.
+// An instruction of the admission controller for one attempt.
 #ifndef ADMISSION_ADMISSION_ACTION_H_
 #define ADMISSION_ADMISSION_ACTION_H_
 
@@ -12,13 +12,13 @@
 
 enum class ActionKind {
   kStart,   // Hand the attempt to the server now.
-  kRefuse,  // Answer with `error`; the attempt did not run and will not.
+  kRefuse,  // Answer with `error`; the attempt did not run and never will.
 };
 
 struct AdmissionAction {
   ActionKind kind = ActionKind::kRefuse;
   base::AttemptId attempt;
-  base::ErrorKind error = base::ErrorKind::kInternal;  // Of a refusal.
+  base::ErrorKind error = base::ErrorKind::kInternal;  // Set for kRefuse.
   base::Duration retry_after{};
 };
 
--- a/src/libs/admission/admission_controller.cc
+++ b/src/libs/admission/admission_controller.cc
@@ -12,16 +12,17 @@
 
 namespace {
 
-// Zero would say that coming back does not help.
-constexpr Duration kLeastWait = std::chrono::milliseconds(1);
-// Of the time to the target, so many times the usual work is kept free of
-// waiting: a third of the requests takes more than the usual work, and a VM
-// may slow down while one runs. At a cold server the wait is for its rate and
-// well known, and there is no better place to go: then once is enough.
-constexpr int kWorkKept = 2;
-// What is started has this part of its usual work more left until its deadline:
-// the work of one request in five takes longer than that.
-constexpr int kSpreadPart = 4;
+// A Retry-After of zero would tell the caller that a retry is pointless.
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(1);
+// An attempt is refused on arrival if less than this multiple of its mean
+// service time would remain between its start and its target. A third of the
+// requests take longer than the mean, and a VM may slow down during one. At a
+// cold server the wait is set by the rate limit and well known, and no other
+// server is better: a factor of 1 is enough there.
+constexpr int kTargetHeadroomFactor = 2;
+// The time left until the deadline at the start must exceed the recent service
+// time by one part in this many: one request in five takes longer than that.
+constexpr int kServiceTimeMarginDivisor = 4;
 
 }  // namespace
 
@@ -90,11 +91,11 @@
                                      queue_.RankOf(waiting.flow), now);
   if (!CanMeetDeadline(waiting, now + wait))
     return ErrorKind::kDeadlineTooClose;
-  // What would be served late only makes others late: it is told at once, and
-  // its caller may come back when there is room.
-  const int work_kept = is_limited ? 1 : kWorkKept;
+  // An attempt that would be served late delays others. It is refused at once,
+  // and the caller may retry when there is capacity.
+  const int headroom_factor = is_limited ? 1 : kTargetHeadroomFactor;
   if (waiting.target &&
-      now + wait + work_kept * ExpectedServiceTime(waiting.flow) >
+      now + wait + headroom_factor * ExpectedServiceTime(waiting.flow) >
           *waiting.target)
     return ErrorKind::kOverloaded;
   return std::nullopt;
@@ -192,7 +193,7 @@
   const bool is_full =
       error == ErrorKind::kOverloaded || error == ErrorKind::kDeadlineTooClose;
   if (is_full && (HasServiceTimeEstimate() || cold_limiter_.IsLimited(now)))
-    return std::max(EstimateWait(Queued() + 1, 0, now), kLeastWait);
+    return std::max(EstimateWait(Queued() + 1, 0, now), kMinRetryAfter);
   return base::AnswerTo(error).retry_after;
 }
 
@@ -222,7 +223,7 @@
     const auto next = queue_.Pop(cold_limiter_.LeastUrgentRankAllowed(now));
     if (!next)
       return;
-    // Others that wait can still be served in time.
+    // Past its target, but other queued attempts can still be served in time.
     const bool is_late = next->target && queue_.size() > 0 &&
                          now + ExpectedServiceTime(next->flow) > *next->target;
     if (!CanMeetDeadline(*next, now) || is_late) {
@@ -264,7 +265,7 @@
     return start < attempt.deadline;
   const Duration work =
       queue_.RecentServiceTime(attempt.flow).value_or(limit_.service_time());
-  return start + work + work / kSpreadPart <= attempt.deadline;
+  return start + work + work / kServiceTimeMarginDivisor <= attempt.deadline;
 }
 
 bool AdmissionController::HasServiceTimeEstimate() const {
@@ -277,7 +278,8 @@
   const auto each = std::chrono::duration<double>(limit_.service_time());
   const auto expected =
       std::chrono::duration_cast<Duration>(each * requests / Limit(now));
-  // A server on which nothing moved for a while may need as long again.
+  // If the server has made no progress for some time, it may take as long
+  // again.
   const Duration stuck =
       HasFreeSlot(now) ? Duration() : Duration(now - last_progress_at_);
   return std::max(
--- a/src/libs/admission/admission_controller.h
+++ b/src/libs/admission/admission_controller.h
@@ -1,6 +1,8 @@
-// The only way to a server: decides which attempts run, wait or are refused.
-// Pure: time is passed in, and the actions that come out are carried out by
-// the node.
+// Admission control for one server: decides which attempts start, are queued or
+// are refused. All requests to the server pass through it.
+//
+// Performs no I/O and reads no clock: the current time is passed in, and the
+// caller carries out the returned actions.
 #ifndef ADMISSION_ADMISSION_CONTROLLER_H_
 #define ADMISSION_ADMISSION_CONTROLLER_H_
 
@@ -22,13 +24,13 @@
 namespace chestnutport::admission {
 
 struct AdmissionOptions {
-  int slots = 12;               // Requests that the server runs at a time.
-  int queue = 24;               // Requests that may wait.
-  base::Duration cold_start{};  // Until a server that started is warm.
-  ColdStartOptions cold;        // What it is given until then.
+  int slots = 12;               // Requests that the server runs concurrently.
+  int queue = 24;               // Capacity of the queue.
+  base::Duration cold_start{};  // Warm-up time after a server start.
+  ColdStartOptions cold;        // Rate limit during the warm-up.
   TrafficShares shares;
-  LedgerLimits ledger;  // Taken at construction only.
-  // False: as many as the slots are given to the server, whatever is measured.
+  LedgerLimits ledger;  // Read at construction only.
+  // If false, the concurrency limit is always `slots`, whatever is measured.
   bool adaptive = true;
 };
 
@@ -36,44 +38,49 @@
  public:
   explicit AdmissionController(const AdmissionOptions& options);
 
-  // What waits stays in the queue.
+  // Queued attempts stay queued.
   void set_options(const AdmissionOptions& options);
 
-  // Each attempt runs at most once: a second arrival is refused.
+  // Admits, queues or refuses an attempt. Each attempt runs at most once: a
+  // second arrival with the same id is refused.
   AdmissionActions Arrive(const Arrival& arrival, base::Instant now);
-  // What Arrive() would refuse at this moment; nothing: it would be let in. The
-  // attempt stays unknown.
+  // Returns the refusal that Arrive() would return now, or nothing if the
+  // attempt would be started or queued. Does not record the attempt.
   std::optional<AdmissionAction> CheckRefusal(const Arrival& arrival,
                                               base::Instant now);
-  // Whether an attempt that was to start may still be sent at `now`, a fresh
-  // reading of the clock. If not, it is to be finished as kNotSent.
+  // Returns whether an attempt with a kStart action may still be sent at `now`,
+  // a fresh reading of the clock. If not, call Finish() with kNotSent.
   bool MaySend(const base::AttemptId& attempt, base::Instant now) const;
-  // An attempt that was started has ended.
+  // Call when a started attempt has ended. Returns the actions for queued
+  // attempts that can start now.
   AdmissionActions Finish(const base::AttemptId& attempt,
                           base::Instant now,
                           ServerResult result = ServerResult::kAnswered);
-  // Makes sure that the attempt does not start from now on, also if it arrives
-  // later. Returns what became of it before: one that was queued, or that
-  // never arrived (kNeverRuns), does not run.
+  // Guarantees that the attempt does not start after this call, even if it
+  // arrives later. Returns its state before the call, or kNeverRuns if it had
+  // not arrived; an attempt that was queued does not run.
   AttemptState Cancel(const base::AttemptId& attempt, base::Instant now);
-  // What became of the attempt; changes nothing.
+  // Returns the state of the attempt without changing it.
   AttemptState State(const base::AttemptId& attempt) const;
-  // Refuses what waited too long, forgets old ends, and starts what a raised
-  // limit allows. Call about each 10 ms.
+  // Refuses queued attempts whose deadline has passed, expires old ledger
+  // records, and starts attempts that a raised limit allows. Call about every
+  // 10 ms.
   AdmissionActions Tick(base::Instant now);
 
-  // From now on every arrival is refused; what waits is refused by the actions.
+  // Refuses all arrivals from now on; the returned actions refuse everything
+  // that is queued.
   AdmissionActions StartDrain(base::Instant now);
   void StopDrain() { draining_ = false; }
-  // Another server, or another life of it, is there from now on.
+  // Call when another server, or a new incarnation of the server, has taken
+  // over.
   void OnServerStarted(base::Instant now);
-  // A probe was handed to the server, which costs it as much as a request.
+  // Call when a probe was sent: it costs a cold server as much as a request.
   void OnProbed(base::Instant now) { cold_limiter_.ConsumeToken(now); }
-  // What the server says of how long it stays cold.
+  // Tracks how long the server reports that it stays cold.
   ColdStartLimiter& cold_limiter() { return cold_limiter_; }
   const ColdStartLimiter& cold_limiter() const { return cold_limiter_; }
 
-  // Whether an attempt that arrives now would start at once, if it is urgent.
+  // Returns whether an attempt of the most urgent rank would start at once.
   bool HasCapacity(base::Instant now) const {
     return queue_.size() == 0 && MayStart(0, now);
   }
@@ -86,10 +93,10 @@
     FlowId flow = 0;
     base::Instant started;
     base::Instant deadline;
-    bool at_limit = false;  // No more could be started beside it.
+    bool at_limit = false;  // No other attempt could start beside it.
   };
 
-  // Nothing: it may run or wait.
+  // Returns nothing if the attempt may run or be queued.
   std::optional<base::ErrorKind> FindRefusal(const QueuedAttempt& waiting,
                                              base::Instant now) const;
   base::Duration RetryAfter(base::ErrorKind error, base::Instant now) const;
@@ -99,27 +106,31 @@
   AdmissionAction Start(const QueuedAttempt& attempt, base::Instant now);
   AdmissionActions Enqueue(const QueuedAttempt& attempt, base::Instant now);
   void StartQueued(AdmissionActions& actions, base::Instant now);
-  // Whether one more may run beside those that run, and may start now.
+  // Returns whether one more attempt of this rank may start now.
   bool MayStart(int rank, base::Instant now) const;
-  // The same for an attempt that arrives now, after those that wait.
+  // Returns whether an attempt of this flow may start now without overtaking
+  // queued attempts.
   bool HasCapacityFor(FlowId flow, base::Instant now) const;
   bool HasFreeSlot(base::Instant now) const;
   int Limit(base::Instant now) const;
   int Queued() const { return static_cast<int>(queue_.size()); }
-  // What requests of a flow take as a rule. Not the server's mean: short ones
-  // would be held for late beside long ones, and refused for it.
+  // Returns the mean service time of the flow. The mean of all flows would hold
+  // back short requests as late when they share the server with long ones, and
+  // refuse them.
   base::Duration ExpectedServiceTime(FlowId flow) const;
-  // Whether what waited may start at `start`. What may not be stopped halfway
-  // has to be done by its deadline, as its flow goes of late: else its caller
-  // would hear "unknown" of what was in vain. What finds room as it arrives is
-  // tried in any case, so that a server which is well again is found out.
+  // Returns whether a queued attempt may start at `start`. An attempt that must
+  // not be interrupted needs enough time to finish by its deadline, judged by
+  // the recent service times of its flow; otherwise its caller would get an
+  // "unknown" outcome for work done in vain. Attempts that find capacity on
+  // arrival skip this check, so that the recovery of a slow server is noticed.
   bool CanMeetDeadline(const QueuedAttempt& attempt, base::Instant start) const;
-  // False until the server has answered as many as it runs at a time. Its first
-  // answers are those of short requests, and where all servers have just
-  // started what waits by them is refused after hundreds of milliseconds in the
-  // queue.
+  // Returns false until the server has answered as many requests as it has
+  // slots. The first answers are those of short requests; with an estimate from
+  // them, when all servers have just started, queued attempts are refused after
+  // hundreds of milliseconds in the queue.
   bool HasServiceTimeEstimate() const;
-  // The time in which `requests` get through, the last of that rank.
+  // Returns the time until `requests` have been served, the last of them of the
+  // given rank.
   base::Duration EstimateWait(double requests,
                               int rank,
                               base::Instant now) const;
--- a/src/libs/admission/arrival.h
+++ b/src/libs/admission/arrival.h
@@ -1,4 +1,4 @@
-// An attempt that asks to run on the server.
+// An attempt that requests admission to the server.
 #ifndef ADMISSION_ARRIVAL_H_
 #define ADMISSION_ARRIVAL_H_
 
@@ -15,9 +15,11 @@
   std::string tenant;
   std::string traffic_class;
   base::Instant deadline;
-  // An answer is worth less from then on; nothing: the same until the deadline.
+  // The answer loses value after this time. If unset, its value stays the same
+  // until the deadline.
   std::optional<base::Instant> target;
-  // One that runs may be stopped halfway: to begin it in vain does no harm.
+  // The attempt may be interrupted while it runs, so starting it in vain does
+  // no harm.
   bool may_stop = false;
 };
 
--- a/src/libs/admission/attempt_ledger.h
+++ b/src/libs/admission/attempt_ledger.h
@@ -1,10 +1,10 @@
-// Remembers what became of each attempt, so that none runs twice and none that
-// was said not to run ever runs.
+// Records the state of each attempt, so that no attempt runs twice, and none
+// runs that was reported as never running.
 //
-// Memory is bounded, yet forgetting is safe: when the record of an attempt is
-// dropped, the highest dropped sequence number of its origin is kept. An
-// attempt at or below that mark without a record may be one that was dropped:
-// it is not run, and nothing is claimed about it.
+// Memory is bounded. When the record of an attempt is dropped, the highest
+// dropped sequence number of its origin is kept. An attempt without a record,
+// at or below that number, may have been dropped: it is not run, and its
+// outcome is reported as unknown.
 #ifndef ADMISSION_ATTEMPT_LEDGER_H_
 #define ADMISSION_ATTEMPT_LEDGER_H_
 
@@ -20,11 +20,10 @@
 namespace chestnutport::admission {
 
 struct LedgerLimits {
-  // How long an end is remembered by a record of its own.
+  // How long the record of a finished attempt is kept.
   base::Duration retention = std::chrono::minutes(2);
-  size_t max_finished =
-      65536;  // Records of ends; the oldest are dropped above it.
-  // How long the mark of an origin that went quiet is kept, and how many.
+  size_t max_finished = 65536;  // The oldest records are dropped above this.
+  // How long the highest dropped sequence number of an idle origin is kept.
   base::Duration origin_retention = std::chrono::hours(24);
   size_t origins = 32768;
 };
@@ -33,11 +32,11 @@
  public:
   explicit AttemptLedger(const LedgerLimits& limits) : limits_(limits) {}
 
-  // kUnknown if there is no record.
+  // Returns kUnknown if there is no record.
   AttemptState Find(const base::AttemptId& attempt) const;
 
-  // Whether an attempt without a record may be taken for one that was never
-  // here. False also if there is no room for the mark of its origin.
+  // Returns whether an attempt without a record has certainly not been seen
+  // before. Also returns false if the table of origins is full.
   bool IsNew(const base::AttemptId& attempt, base::Instant now);
 
   // Records a state. Records of kQueued and kRunning are never dropped.
@@ -45,7 +44,8 @@
            AttemptState state,
            base::Instant now);
 
-  // Drops ends that are old, oldest first: the cost is that of the drops.
+  // Drops expired records, oldest first. The cost is linear in the number of
+  // records dropped.
   void Expire(base::Instant now);
 
   size_t records() const { return records_.size(); }
@@ -57,7 +57,7 @@
     base::Instant since;
   };
   struct Origin {
-    uint64_t highest_dropped_sequence = 0;  // Zero: nothing was dropped.
+    uint64_t highest_dropped_sequence = 0;  // 0 if no record was dropped.
     base::Instant last_seen;
   };
 
--- a/src/libs/admission/attempt_state.h
+++ b/src/libs/admission/attempt_state.h
@@ -1,4 +1,4 @@
-// What the admission side knows of an attempt.
+// The state of an attempt at the gate.
 #ifndef ADMISSION_ATTEMPT_STATE_H_
 #define ADMISSION_ATTEMPT_STATE_H_
 
@@ -7,14 +7,14 @@
 namespace chestnutport::admission {
 
 enum class AttemptState {
-  kNeverRuns,  // Refused, cancelled, or barred before it arrived.
+  kNeverRuns,  // Refused, or cancelled, perhaps before it arrived.
   kQueued,
   kRunning,   // Handed to the server.
-  kFinished,  // The server's answer came, or its connection was lost.
-  kUnknown,   // Not seen here, or forgotten: it may have run.
+  kFinished,  // Answered by the server, or its connection was lost.
+  kUnknown,   // No record, or its record was dropped: it may have run.
 };
 
-// The name used between nodes.
+// Returns the name used between nodes.
 constexpr std::string_view ToString(AttemptState state) {
   switch (state) {
     case AttemptState::kNeverRuns:
--- a/src/libs/admission/cold_start_limiter.cc
+++ b/src/libs/admission/cold_start_limiter.cc
@@ -10,30 +10,32 @@
 
 namespace {
 
-// What a server in doubt is taken to stay cold for: its health check tells
-// sooner, several times a second.
-constexpr std::chrono::seconds kDoubt{3};
-// A busy VM hands a request over so much later than it was decided, at most.
-// What was decided in more than a second may then reach the server in one.
-constexpr std::chrono::milliseconds kHandingOver{100};
-// The health check that finds a server is sent before its gate counts.
-constexpr double kUncounted = 1;
-// A request more than this below a whole token is a matter of rounding.
-constexpr double kRounding = 1e-6;
-// Also a server that tolerates next to nothing is tried.
-constexpr double kLeastRate = 0.5;
-
-// What may be decided so that no second holds more than `declared` as the
-// server counts.
+// How long a server is assumed cold unless its health check, which runs several
+// times a second, reports earlier.
+constexpr std::chrono::seconds kAssumedColdTime{3};
+// The longest delay between the decision and the arrival at the server on a
+// busy VM. Requests decided on within more than a second may therefore reach
+// the server within one second.
+constexpr std::chrono::milliseconds kMaxSendDelay{100};
+// The health check that discovers a server is sent before its gate counts.
+constexpr double kUncountedRequests = 1;
+// Tolerance for floating-point rounding when tokens are compared.
+constexpr double kRoundingTolerance = 1e-6;
+// Minimum rate, so that a server that tolerates almost nothing is still tried.
+constexpr double kMinRate = 0.5;
+
+// Reduces the declared limits so that no second, as counted by the server,
+// holds more requests than declared.
 ColdStartOptions WithMargin(const ColdStartOptions& declared) {
   ColdStartOptions kept = declared;
-  const double late = Seconds(kHandingOver).count();
-  kept.burst = declared.burst - kUncounted - declared.rate * late;
+  const double late = Seconds(kMaxSendDelay).count();
+  kept.burst = declared.burst - kUncountedRequests - declared.rate * late;
   if (kept.burst >= 1 || declared.rate <= 0)
     return kept;
   kept.burst = 1;
   const double in_a_second = declared.rate + declared.burst;
-  kept.rate = std::max(kLeastRate, (in_a_second - kUncounted - 1) / (1 + late));
+  kept.rate =
+      std::max(kMinRate, (in_a_second - kUncountedRequests - 1) / (1 + late));
   return kept;
 }
 
@@ -69,7 +71,7 @@
   if (!IsCold(now))
     is_assumed_ = true;
   reported_at_ = now;
-  cold_until_ = std::max<Instant>(cold_until_, now + kDoubt);
+  cold_until_ = std::max<Instant>(cold_until_, now + kAssumedColdTime);
 }
 
 bool ColdStartLimiter::IsCold(Instant now) const {
@@ -110,20 +112,20 @@
   if (!IsLimited(now))
     return {};
   const double missing =
-      requests + ReservedTokens(rank) - TokensAt(now) - kRounding;
+      requests + ReservedTokens(rank) - TokensAt(now) - kRoundingTolerance;
   if (missing <= 0)
     return {};
   const auto wait =
       std::chrono::ceil<Duration>(Seconds(missing / options_.rate));
-  // A warm server needs no token.
+  // The wait ends with the cold state: a warm server needs no tokens.
   return std::min<Duration>(wait, cold_until_ - now);
 }
 
 void ColdStartLimiter::ConsumeToken(Instant now) {
   if (options_.rate <= 0)
     return;
-  // A warm server owes no more than the starts of one second, which are those
-  // that count if it says now that it is cold.
+  // While the server is warm, the debt is limited to the requests of one
+  // second, which count if the server reports now that it is cold.
   const double least = std::min(0.0, options_.burst - options_.rate);
   tokens_ = std::max(TokensAt(now) - 1, least);
   tokens_updated_at_ = now;
--- a/src/libs/admission/cold_start_limiter.h
+++ b/src/libs/admission/cold_start_limiter.h
@@ -1,6 +1,7 @@
-// How many requests a cold server is given in a time: one that has just
-// started, or says that it is cold, ends when it gets many more than it
-// tolerates. Its gate is the only way to it, so that the count is exact.
+// Limits the request rate of a cold server with a token bucket. A server is
+// cold after a start, or while it reports so; it crashes if it gets many more
+// requests than it tolerates. All requests pass through the gate of its node,
+// so the count is exact.
 #ifndef ADMISSION_COLD_START_LIMITER_H_
 #define ADMISSION_COLD_START_LIMITER_H_
 
@@ -9,12 +10,11 @@
 namespace chestnutport::admission {
 
 struct ColdStartOptions {
-  // Requests a second that a cold server may be given; zero: as many as a warm
-  // one.
+  // Requests per second that a cold server may get; 0 means no limit.
   double rate = 0;
-  // So many beside, in any time: those that come together.
+  // Requests on top of the rate in any period, for those that arrive together.
   double burst = 0;
-  // How long a server that started is taken for cold until it says so itself.
+  // How long a started server is assumed cold unless it reports otherwise.
   base::Duration after_start{};
 
   bool operator==(const ColdStartOptions&) const = default;
@@ -22,7 +22,7 @@
 
 class ColdStartLimiter {
  public:
-  // Ranks of urgency that are told apart; 0 is the most urgent.
+  // Ranks of urgency that are distinguished; 0 is the most urgent.
   static constexpr int kRankCount = 4;
 
   explicit ColdStartLimiter(const ColdStartOptions& options) {
@@ -31,56 +31,59 @@
 
   void set_options(const ColdStartOptions& options);
 
-  // The server started just now.
+  // The server has just started.
   void OnServerStarted(base::Instant now);
-  // The server said at `reported_at` how much longer it stays cold. What it
-  // said before that counts no more.
+  // The server reported at `reported_at` that it stays cold for `remaining`.
+  // Supersedes earlier reports.
   void OnReported(base::Duration remaining, base::Instant reported_at);
-  // A health check found no sign that the server is cold. What it said itself
-  // still holds; what was only likely does not.
+  // A health check reported no cold state. Ends an assumed cold state, but not
+  // a reported one.
   void OnHealthyWithoutReport(base::Instant now);
-  // The server may have become cold: it counts as cold until it says at
-  // `now` or later that it is not.
+  // Assumes that the server may have become cold, until it reports at `now` or
+  // later that it is not.
   void AssumeCold(base::Instant now);
 
   bool IsCold(base::Instant now) const;
-  // Whether it is given fewer requests for it.
+  // Returns whether the server is cold and a rate limit applies.
   bool IsLimited(base::Instant now) const;
-  // Whether the server is cold, and got more than it tolerates: before it said
-  // so, as a rule.
+  // Returns whether the server is cold and got more requests than it tolerates,
+  // usually because they were sent before it reported the cold state.
   bool IsOverRateLimit(base::Instant now) const;
-  // Until when the server is cold, as far as it is known.
+  // The end of the cold state, as far as it is known.
   base::Instant cold_until() const { return cold_until_; }
-  // What a cold server is given a second; zero: there is no limit.
+  // The rate limit of a cold server per second, with the safety margin; 0 means
+  // no limit.
   double rate() const { return options_.rate; }
 
-  // Whether a request may be handed to the server now. Of the burst, the less
-  // urgent ranks leave a part to those before them, so that the few places of a
-  // cold server go to what is most urgent, whatever comes first.
+  // Returns whether a request of this rank may be sent now. Less urgent ranks
+  // leave part of the burst to more urgent ones, so that the small capacity of
+  // a cold server goes to the most urgent requests, whatever their order of
+  // arrival.
   bool MayStart(int rank, base::Instant now) const {
     return TimeUntilAllowed(1, rank, now) == base::Duration();
   }
-  // The least urgent rank that may start now; less than zero: none.
+  // Returns the least urgent rank that may start now, or a negative number if
+  // none may.
   int LeastUrgentRankAllowed(base::Instant now) const;
-  // Until the last of `requests` may be handed to the server, one after the
-  // other.
+  // Returns the time until the last of `requests` may be sent to the server,
+  // one after the other.
   base::Duration TimeUntilAllowed(double requests,
                                   int rank,
                                   base::Instant now) const;
-  // A request or a probe was handed to the server.
+  // Call when a request or a probe was sent to the server.
   void ConsumeToken(base::Instant now);
 
  private:
-  // Tokens that a rank leaves to those before it.
+  // Returns the number of tokens that a rank leaves to more urgent ranks.
   double ReservedTokens(int rank) const;
   double TokensAt(base::Instant now) const;
 
   ColdStartOptions options_;
   base::Instant cold_until_;
   base::Instant reported_at_;
-  bool is_assumed_ = false;  // That it is cold: it did not say so.
-  // Requests that may be started at `tokens_updated_at_`; less than zero after
-  // more than a cold server tolerates.
+  bool is_assumed_ = false;  // The cold state is assumed, not reported.
+  // Tokens at `tokens_updated_at_`; negative after more requests than a cold
+  // server tolerates.
   double tokens_ = 0;
   base::Instant tokens_updated_at_;
 };
--- a/src/libs/admission/concurrency_limit.cc
+++ b/src/libs/admission/concurrency_limit.cc
@@ -11,16 +11,22 @@
 using base::Instant;
 using Seconds = std::chrono::duration<double>;
 
-constexpr double kStep = 0.6;        // Of the limit in a trial.
-constexpr double kDecision = 0.5;    // Of the change if all is queueing.
-constexpr double kSuspicious = 1.4;  // Service time to the reference.
-constexpr int kSamplesForEach = 5;   // In a window, for each of the limit.
-constexpr double kRelieved = 0.9;    // The same, the other way.
-constexpr int kUpPause = 2;          // The first pause after a failed trial.
-constexpr int kLongestUpPause = 16;  // It doubles up to this.
+// Factor on the limit in a downward trial.
+constexpr double kTrialFactor = 0.6;
+// Part of the change expected from queueing that confirms it.
+constexpr double kQueueingThreshold = 0.5;
+// Ratio of the service time to the reference that starts a downward trial.
+constexpr double kCongestedRatio = 1.4;
+// Samples per window for each unit of the limit.
+constexpr int kSamplesPerSlot = 5;
+// Ratio of the service time to the reference that starts an upward trial.
+constexpr double kRelievedRatio = 0.9;
+// Windows until the first upward trial; doubles after each failed one.
+constexpr int kUpTrialInterval = 2;
+constexpr int kMaxUpTrialInterval = 16;
 constexpr double kRecentGain = 0.05;
 constexpr double kReferenceGain = 0.25;
-constexpr double kColdShare = 0.25;  // Of the slots at a cold start.
+constexpr double kWarmUpShare = 0.25;  // Share of the slots at a server start.
 constexpr std::chrono::milliseconds kIdle(500);
 constexpr std::chrono::milliseconds kIdleStep(50);
 
@@ -29,14 +35,14 @@
 ConcurrencyLimit::ConcurrencyLimit(int slots)
     : slots_(std::max(1, slots)),
       limit_(slots_),
-      up_trial_interval_(kUpPause),
+      up_trial_interval_(kUpTrialInterval),
       mean_service_time_(kRecentGain) {}
 
 void ConcurrencyLimit::SetSlots(int slots) {
   slots = std::max(1, slots);
   if (slots == slots_)
     return;
-  // What was found of fewer slots is found again if it still holds.
+  // A limit below the old number of slots is found again if it still applies.
   slots_ = slots;
   limit_ = slots;
   trial_ = Trial::kNone;
@@ -67,7 +73,7 @@
     return;
   window_sum_ += seconds;
   const int usual = trial_ == Trial::kUp ? limit_before_ : limit_;
-  if (++window_count_ < kSamplesForEach * usual)
+  if (++window_count_ < kSamplesPerSlot * usual)
     return;
   const double mean = window_sum_ / window_count_;
   window_sum_ = 0;
@@ -80,8 +86,8 @@
 
 void ConcurrencyLimit::OnShed(int in_flight, Instant now) {
   trial_ = Trial::kNone;
-  windows_until_up_trial_ = kUpPause;
-  Change(std::min(limit_, in_flight - 1), now);
+  windows_until_up_trial_ = kUpTrialInterval;
+  ChangeLimit(std::min(limit_, in_flight - 1), now);
 }
 
 int ConcurrencyLimit::Limit(Instant now) const {
@@ -89,7 +95,7 @@
     return limit_;
   const double warm =
       Seconds(now - warm_up_started_at_) / Seconds(warm_up_time_);
-  const double share = kColdShare + (1 - kColdShare) * std::max(0.0, warm);
+  const double share = kWarmUpShare + (1 - kWarmUpShare) * std::max(0.0, warm);
   return std::max(1, std::min(limit_, static_cast<int>(slots_ * share)));
 }
 
@@ -99,52 +105,57 @@
 }
 
 void ConcurrencyLimit::EndWindow(double mean, Instant now) {
-  const bool suspicious = reference_ > 0 && mean > kSuspicious * reference_;
-  const bool relieved = mean < kRelieved * reference_;
-  reference_ = reference_ == 0 || suspicious
+  const bool is_congested =
+      reference_ > 0 && mean > kCongestedRatio * reference_;
+  const bool is_relieved = mean < kRelievedRatio * reference_;
+  reference_ = reference_ == 0 || is_congested
                    ? mean
                    : reference_ + kReferenceGain * (mean - reference_);
   mean_before_ = mean;
-  windows_until_up_trial_ = relieved ? 0 : windows_until_up_trial_ - 1;
-  const int lower = static_cast<int>(limit_ * kStep);
-  if (lower >= 1 && suspicious)
-    Begin(Trial::kDown, lower, now);
+  windows_until_up_trial_ = is_relieved ? 0 : windows_until_up_trial_ - 1;
+  const int lower = static_cast<int>(limit_ * kTrialFactor);
+  if (lower >= 1 && is_congested)
+    BeginTrial(Trial::kDown, lower, now);
   else if (limit_ < slots_ && windows_until_up_trial_ <= 0)
-    Begin(Trial::kUp, static_cast<int>(std::ceil(limit_ / kStep)), now);
+    BeginTrial(Trial::kUp, static_cast<int>(std::ceil(limit_ / kTrialFactor)),
+               now);
 }
 
 void ConcurrencyLimit::EndTrial(double mean, Instant now) {
   const double change = static_cast<double>(limit_) / limit_before_ - 1;
-  const bool waits_inside =
-      trial_ == Trial::kUp ? mean > mean_before_ * (1 + kDecision * change)
-                           : mean < mean_before_ * (1 + kDecision * change);
+  const bool is_queueing_inside =
+      trial_ == Trial::kUp
+          ? mean > mean_before_ * (1 + kQueueingThreshold * change)
+          : mean < mean_before_ * (1 + kQueueingThreshold * change);
   const Trial trial = std::exchange(trial_, Trial::kNone);
-  const bool keep = (trial == Trial::kDown) == waits_inside;
+  const bool keep = (trial == Trial::kDown) == is_queueing_inside;
   if (keep) {
     mean_before_ = mean;
     reference_ = mean;
     if (trial == Trial::kUp && limit_ < slots_)
-      Begin(trial, static_cast<int>(std::ceil(limit_ / kStep)), now);
+      BeginTrial(trial, static_cast<int>(std::ceil(limit_ / kTrialFactor)),
+                 now);
     else if (trial == Trial::kDown && limit_ > 1)
-      Begin(trial, std::max(1, static_cast<int>(limit_ * kStep)), now);
-    up_trial_interval_ = kUpPause;
+      BeginTrial(trial, std::max(1, static_cast<int>(limit_ * kTrialFactor)),
+                 now);
+    up_trial_interval_ = kUpTrialInterval;
     windows_until_up_trial_ = up_trial_interval_;
     return;
   }
-  Change(limit_before_, now);
+  ChangeLimit(limit_before_, now);
   if (trial == Trial::kUp) {
     windows_until_up_trial_ = up_trial_interval_;
-    up_trial_interval_ = std::min(2 * up_trial_interval_, kLongestUpPause);
+    up_trial_interval_ = std::min(2 * up_trial_interval_, kMaxUpTrialInterval);
   }
 }
 
-void ConcurrencyLimit::Begin(Trial trial, int limit, Instant now) {
+void ConcurrencyLimit::BeginTrial(Trial trial, int limit, Instant now) {
   trial_ = trial;
   limit_before_ = limit_;
-  Change(limit, now);
+  ChangeLimit(limit, now);
 }
 
-void ConcurrencyLimit::Change(int limit, Instant now) {
+void ConcurrencyLimit::ChangeLimit(int limit, Instant now) {
   limit_ = std::clamp(limit, 1, slots_);
   changed_at_ = now;
   window_sum_ = 0;
@@ -157,7 +168,7 @@
     return;
   }
   trial_ = Trial::kNone;
-  Change(limit_ + 1, now);
+  ChangeLimit(limit_ + 1, now);
 }
 
 }  // namespace chestnutport::admission
--- a/src/libs/admission/concurrency_limit.h
+++ b/src/libs/admission/concurrency_limit.h
@@ -1,13 +1,13 @@
-// How many requests a server is given at a time.
+// Adaptive limit on the number of requests that a server runs concurrently.
 //
-// The slots are known, but a noisy neighbour may take some of them away: then
-// what is given beyond the rest only waits inside the server. Or it may slow
-// all slots down: then giving less only wastes slots. Service times alone look
-// alike in both, so the limit is changed on trial: fewer slots are in use if
-// the service time falls with the limit, and the change is kept; if not, it is
-// taken back. Upward trials are cheap and frequent. A downward one takes slots
-// from requests that could use them, so it is made only when service times
-// rise.
+// The number of slots is known, but a noisy neighbour may take some of them;
+// requests beyond the remaining slots only queue inside the server. Or the
+// neighbour may slow down all slots; then a lower limit only wastes capacity.
+// Service times rise in both cases, so the limit is changed in trials: if the
+// service time falls with the limit, requests were queueing inside the server
+// and the lower limit is kept; otherwise the change is undone. Upward trials
+// are cheap and frequent. A downward trial takes slots from requests that could
+// use them, so it is made only when service times have risen.
 #ifndef ADMISSION_CONCURRENCY_LIMIT_H_
 #define ADMISSION_CONCURRENCY_LIMIT_H_
 
@@ -22,26 +22,30 @@
  public:
   explicit ConcurrencyLimit(int slots);
 
-  // The limit never exceeds the slots, nor falls below 1.
+  // Sets the upper bound of the limit, which is always at least 1.
   void SetSlots(int slots);
 
-  // The server started just now: the limit rises to the slots over the ramp.
+  // The server has just started: raises the limit gradually to the slots over
+  // the warm-up time.
   void StartWarmUp(base::Instant now);
   void set_warm_up_time(base::Duration ramp) { warm_up_time_ = ramp; }
 
-  // A request ended. `at_limit`: no more could be started beside it.
+  // Call when a request was answered. `at_limit`: no other request could start
+  // beside it.
   void OnServed(base::Instant started,
                 base::Duration service_time,
                 bool at_limit,
                 base::Instant now);
-  // The server refused a request with `in_flight` given to it.
+  // Call when the server rejected a request while `in_flight` requests were
+  // sent to it.
   void OnShed(int in_flight, base::Instant now);
 
   int Limit(base::Instant now) const;
 
-  // The mean of recent service times; zero if there was none.
+  // Returns the moving average of the service time, or zero if nothing was
+  // served.
   base::Duration service_time() const;
-  // Answers that the mean is made of.
+  // The number of answers in the average.
   int64_t served() const { return mean_service_time_.count(); }
 
  private:
@@ -49,8 +53,8 @@
 
   void EndWindow(double mean, base::Instant now);
   void EndTrial(double mean, base::Instant now);
-  void Begin(Trial trial, int limit, base::Instant now);
-  void Change(int limit, base::Instant now);
+  void BeginTrial(Trial trial, int limit, base::Instant now);
+  void ChangeLimit(int limit, base::Instant now);
   void RaiseWhileIdle(base::Instant now);
 
   int slots_;
@@ -61,9 +65,9 @@
   base::Duration warm_up_time_{};
 
   Trial trial_ = Trial::kNone;
-  int limit_before_ = 0;  // The trial.
+  int limit_before_ = 0;  // The limit before the current trial.
   double mean_before_ = 0;
-  double reference_ = 0;  // Mean service time, in seconds, held for normal.
+  double reference_ = 0;  // Mean service time without congestion, in seconds.
   int windows_until_up_trial_ = 0;
   int up_trial_interval_;
 
--- a/src/libs/admission/fair_queue.cc
+++ b/src/libs/admission/fair_queue.cc
@@ -12,14 +12,15 @@
 using base::Duration;
 using base::Instant;
 
-constexpr size_t kMostFlows = 256;
-constexpr double kClassRatio = 8;  // Weight of a class to the next.
-constexpr double kUnknownCost = 0.001;
+constexpr size_t kMaxFlows = 256;
+// Weight of a class relative to the next one.
+constexpr double kClassRatio = 8;
+constexpr double kDefaultCost = 0.001;
 
-// Shared by the tenants beyond the most flows.
+// The flow shared by all tenants above kMaxFlows.
 constexpr char kOtherTenants[] = "";
 
-// From the most urgent class on, with their weights.
+// Returns the classes with their ranks and weights, the most urgent first.
 template <typename ClassState>
 std::vector<ClassState> MakeClasses(std::vector<ClassUrgency> declared) {
   if (declared.empty())
@@ -38,7 +39,7 @@
   return classes;
 }
 
-// Nothing for zero, which no request takes.
+// Returns nothing for zero, which means that there is no sample.
 std::optional<Duration> ToDuration(double seconds) {
   if (seconds == 0)
     return std::nullopt;
@@ -76,7 +77,7 @@
   const auto found = known.find(base::AbslView(tenant));
   if (found != known.end())
     return found->second;
-  if (flows_.size() < kMostFlows)
+  if (flows_.size() < kMaxFlows)
     return AddFlow(index, tenant);
   const auto others = known.find(kOtherTenants);
   return others != known.end() ? others->second : AddFlow(index, kOtherTenants);
@@ -231,7 +232,7 @@
 double FairQueue::Cost(const FlowState& flow) const {
   if (flow.cost.mean() > 0)
     return flow.cost.mean();
-  return mean_cost_.mean() > 0 ? mean_cost_.mean() : kUnknownCost;
+  return mean_cost_.mean() > 0 ? mean_cost_.mean() : kDefaultCost;
 }
 
 double FairQueue::Weight(const FlowState& flow) const {
--- a/src/libs/admission/fair_queue.h
+++ b/src/libs/admission/fair_queue.h
@@ -1,7 +1,7 @@
-// The attempts that wait for a server, in fair order: start-time fair queueing
-// over classes, and within a class over tenants; within a flow the earliest
+// Queue of admitted attempts that wait for a slot. Start-time fair queueing
+// over classes and, within a class, over tenants; within a flow, the earliest
 // deadline goes first. Each class has eight times the weight of the next less
-// urgent one: nearly strict, yet none starves. Work-conserving.
+// urgent one: nearly strict priority, without starvation. Work-conserving.
 #ifndef ADMISSION_FAIR_QUEUE_H_
 #define ADMISSION_FAIR_QUEUE_H_
 
@@ -22,56 +22,62 @@
 
 class FairQueue {
  public:
-  // Classes weigh by rank; from this one on all weigh the same.
+  // Class weights depend on the rank; all ranks from this one on weigh the
+  // same.
   static constexpr int kLeastUrgentRank = 3;
 
   explicit FairQueue(const TrafficShares& shares);
 
-  // Flows and what waits in them stay; their weights follow the new shares.
+  // Keeps flows and queued attempts; their weights follow the new shares.
   void SetShares(const TrafficShares& shares);
 
-  // The flow of a tenant in a class. Invented names cannot grow memory: past a
-  // fixed number of flows, further tenants share one flow a class.
+  // Returns the flow of a tenant in a class. The number of flows is bounded, so
+  // that made-up tenant names cannot exhaust memory: above the bound, new
+  // tenants share one flow per class.
   FlowId FlowFor(std::string_view traffic_class, std::string_view tenant);
 
   void Push(const QueuedAttempt& attempt);
-  // The next to run, or nothing if none waits; of ranks up to `max_rank` only.
+  // Removes the next attempt to run with a rank up to `max_rank`. Returns
+  // nothing if there is none.
   std::optional<QueuedAttempt> Pop(int max_rank = kLeastUrgentRank);
-  // Takes out one whose deadline has passed.
+  // Removes an attempt whose deadline has passed.
   std::optional<QueuedAttempt> PopExpired(base::Instant now);
-  // Takes out the latest deadline of the flow that has most waiting for its
-  // share.
+  // Removes the attempt with the latest deadline from the flow that has the
+  // most queued attempts relative to its weight.
   std::optional<QueuedAttempt> PopMostOverShare();
-  // Whether the attempt waited.
+  // Returns whether the attempt was queued.
   bool Remove(const base::AttemptId& attempt);
 
-  // Takes note of the server's time that a request of the flow took.
+  // Records the service time of a request of the flow.
   void OnServed(FlowId flow, base::Duration service_time);
 
-  // What requests of the flow take as a rule; nothing until one was served.
+  // Returns the moving average of the flow's service time, or nothing if no
+  // request was served yet.
   std::optional<base::Duration> MeanServiceTime(FlowId flow) const;
-  // What they took of late, which follows a server that turns slow or well
-  // within a few requests.
+  // As MeanServiceTime(), but over the last few requests: follows a server that
+  // slows down or recovers.
   std::optional<base::Duration> RecentServiceTime(FlowId flow) const;
 
-  // How many would run before one that is pushed to the flow now.
+  // Returns how many queued requests would run before one that is pushed to the
+  // flow now.
   double RequestsAhead(FlowId flow) const;
 
-  // The rank of the flow's class by urgency; 0 is the most urgent.
+  // Returns the urgency rank of the flow's class; 0 is the most urgent.
   int RankOf(FlowId flow) const;
-  // Whether anything of that rank waits, or of a more urgent one.
+  // Returns whether any attempt of this rank or a more urgent one is queued.
   bool HasQueuedUpTo(int rank) const;
 
   size_t size() const { return size_; }
   size_t flows() const { return flows_.size(); }
 
  private:
-  static constexpr double kCostGain = 0.05;  // Of a sample in the mean cost.
-  // Of a sample in what requests took of late: after ten, what a server did
-  // before counts next to nothing.
+  // Smoothing factor of the mean cost.
+  static constexpr double kCostGain = 0.05;
+  // Smoothing factor of the recent service time: after ten samples the earlier
+  // ones hardly count.
   static constexpr double kRecentGain = 0.25;
 
-  // A participant in fair queueing: its next start in virtual time.
+  // The start tag of a class or flow in virtual time, and its weight.
   struct Tag {
     double start = 0;
     double weight = 1;
@@ -80,17 +86,17 @@
     std::string tenant;
     size_t traffic_class = 0;
     Tag tag;
-    // Seconds of the server's time a request.
+    // Server time per request in seconds.
     SmoothedMean cost{kCostGain};
-    SmoothedMean recent{kRecentGain};   // The same, of late.
-    std::deque<QueuedAttempt> waiting;  // By deadline.
+    SmoothedMean recent{kRecentGain};  // As `cost`, over the last few requests.
+    std::deque<QueuedAttempt> waiting;  // Sorted by deadline.
   };
   struct ClassState {
     std::string name;
     int rank = 0;
     Tag tag;
     double virtual_time = 0;
-    std::vector<FlowId> active;  // Flows with something waiting.
+    std::vector<FlowId> active;  // Flows with queued attempts.
     absl::flat_hash_map<std::string, FlowId> by_tenant;
   };
 
@@ -102,7 +108,7 @@
   QueuedAttempt TakeAt(FlowId id, size_t position);
 
   std::vector<TenantShare> tenants_;
-  std::vector<ClassState> classes_;  // From the most urgent on.
+  std::vector<ClassState> classes_;  // The most urgent first.
   std::vector<FlowState> flows_;
   double virtual_time_ = 0;
   SmoothedMean mean_cost_{kCostGain};
--- a/src/libs/admission/pause_detector.cc
+++ b/src/libs/admission/pause_detector.cc
@@ -5,7 +5,7 @@
 namespace chestnutport::admission {
 namespace {
 
-constexpr std::chrono::milliseconds kNotice(50);
+constexpr std::chrono::milliseconds kMinPause(50);
 constexpr std::chrono::seconds kBacklogTime(1);
 
 }  // namespace
@@ -13,7 +13,7 @@
 void PauseDetector::Update(base::Instant now) {
   const base::Duration gap = now - last_update_;
   last_update_ = now;
-  if (gap < kNotice)
+  if (gap < kMinPause)
     return;
   pause_length_ = std::max(gap, UnobservedDelay(now));
   resumed_at_ = now;
--- a/src/libs/admission/pause_detector.h
+++ b/src/libs/admission/pause_detector.h
@@ -1,8 +1,9 @@
-// Notices that this process did not run for a while: stopped, or starved.
+// Detects that this process was paused: stopped, or starved of CPU time.
 //
-// What arrives says how much time is left to it, counted from its sending. If
-// the process was frozen meanwhile, that time has gone by unseen in a socket's
-// buffer; only the gap between two looks at the clock shows it.
+// A request carries the time left until its deadline, counted from when it was
+// sent. If the process was paused meanwhile, part of that time has passed while
+// the request waited in a socket buffer. Only the gap between two readings of
+// the clock reveals this.
 #ifndef ADMISSION_PAUSE_DETECTOR_H_
 #define ADMISSION_PAUSE_DETECTOR_H_
 
@@ -14,11 +15,13 @@
  public:
   explicit PauseDetector(base::Instant now) : last_update_(now) {}
 
-  // Call with a fresh reading, at least every 10 ms while the process runs.
+  // Call with a fresh reading of the clock, at least every 10 ms while the
+  // process runs.
   void Update(base::Instant now);
 
-  // How long a request that is read now may have waited unseen. Stays for a
-  // second after a freeze, until what piled up has been read.
+  // Returns how long a request that is read now may have waited in a socket
+  // buffer. Non-zero for one second after a pause, until the backlog has been
+  // read.
   base::Duration UnobservedDelay(base::Instant now) const;
 
  private:
--- a/src/libs/admission/probe_scheduler.cc
+++ b/src/libs/admission/probe_scheduler.cc
@@ -8,15 +8,15 @@
 using base::Duration;
 using base::Instant;
 
-// A probe that could not take even this long would tell nothing.
-constexpr Duration kLeastTime = std::chrono::milliseconds(10);
-constexpr Duration kMostTime = std::chrono::milliseconds(50);
-// The longest that a request waits for a probe: a fifth of the shortest target
-// that the users declare, 100 ms, and several times what a server takes that is
-// well.
-constexpr Duration kMostLookTime = std::chrono::milliseconds(20);
-// So long a server without an answer counts as slow: half a usual spell.
-constexpr Duration kSilenceHolds = std::chrono::milliseconds(150);
+// A probe with a shorter time limit would give no information.
+constexpr Duration kMinProbeTime = std::chrono::milliseconds(10);
+constexpr Duration kMaxProbeTime = std::chrono::milliseconds(50);
+// Longest time that a request waits for a probe: a fifth of the shortest target
+// in use, 100 ms, and several times the response time of a healthy server.
+constexpr Duration kMaxOnDemandTime = std::chrono::milliseconds(20);
+// How long a server is considered slow after a probe without an answer: half
+// the usual length of a slow period.
+constexpr Duration kUnresponsiveTime = std::chrono::milliseconds(150);
 
 }  // namespace
 
@@ -25,7 +25,7 @@
       now < last_probe_ + options_.quiet) {
     return std::nullopt;
   }
-  return ReserveBudget(kMostTime, now);
+  return ReserveBudget(kMaxProbeTime, now);
 }
 
 bool ProbeScheduler::IsStale(Instant now) const {
@@ -35,7 +35,7 @@
 }
 
 std::optional<Duration> ProbeScheduler::StartOnDemand(Instant now) {
-  return running_ ? std::nullopt : ReserveBudget(kMostLookTime, now);
+  return running_ ? std::nullopt : ReserveBudget(kMaxOnDemandTime, now);
 }
 
 std::optional<Duration> ProbeScheduler::ReserveBudget(Duration longest,
@@ -49,14 +49,14 @@
       std::chrono::duration<double>(window) * options_.budget);
   for (const BudgetUse& payment : budget_uses_)
     left -= payment.cost;
-  if (left < kLeastTime)
+  if (left < kMinProbeTime)
     return std::nullopt;
-  const Duration most = std::min<Duration>(left, longest);
-  budget_uses_.push_back({now, most});
+  const Duration time_limit = std::min<Duration>(left, longest);
+  budget_uses_.push_back({now, time_limit});
   last_probe_ = now;
   running_ = true;
   ++probes_;
-  return most;
+  return time_limit;
 }
 
 void ProbeScheduler::End(Duration cost, bool answered, Instant now) {
@@ -68,7 +68,7 @@
   if (answered)
     last_answer_ = now;
   else
-    known_unresponsive_until_ = now + kSilenceHolds;
+    known_unresponsive_until_ = now + kUnresponsiveTime;
 }
 
 }  // namespace chestnutport::admission
--- a/src/libs/admission/probe_scheduler.h
+++ b/src/libs/admission/probe_scheduler.h
@@ -1,10 +1,11 @@
-// Decides when a node probes its own server: only when traffic tells too
-// little, and never for more of the server's time than the declared budget.
+// Schedules health probes of this node's own server. Probes are sent only when
+// traffic gives too little information, and never take more of the server's
+// time than the declared budget.
 //
-// The budget holds for every window of ten seconds, and for each life of the
-// node, so that a node that starts again and again keeps it too. A probe is
-// paid in advance with the longest time that it may take, and ended by then;
-// what it did not use is given back.
+// The budget applies to every window of ten seconds and counts from the start
+// of the node process, so that a node in a restart loop keeps it too. A probe
+// reserves the longest time that it may take in advance and is ended by then;
+// the unused part is returned.
 #ifndef ADMISSION_PROBE_SCHEDULER_H_
 #define ADMISSION_PROBE_SCHEDULER_H_
 
@@ -20,16 +21,16 @@
 
 struct ProbeOptions {
   double budget = 0.005;  // Share of the server's time.
-  // Without an answer for so long, traffic tells too little.
+  // Probes are due after this time without an answer.
   base::Duration quiet = std::chrono::seconds(2);
-  // Without an answer for so long, a request that could go elsewhere is not
-  // started before a probe has ended; zero: it is started at once.
+  // After this time without an answer, a request that could be sent elsewhere
+  // waits for a probe before it starts; 0 disables the wait.
   base::Duration stale{};
 };
 
 class ProbeScheduler {
  public:
-  // `now`: when this life of the node began.
+  // `now`: the start of this node process.
   ProbeScheduler(const ProbeOptions& options, base::Instant now)
       : options_(options), started_at_(now), last_answer_(now) {}
 
@@ -38,15 +39,17 @@
   // The server answered a request.
   void OnAnswer(base::Instant now) { last_answer_ = now; }
 
-  // Starts a probe if one is due; it must be ended within the time returned.
+  // Starts a probe if one is due. Returns its time limit, or nothing.
   std::optional<base::Duration> StartIfDue(base::Instant now);
-  // Whether the server's last word is too old to start a request by. Not for a
-  // while after a probe without an answer: that is known of it.
+  // Returns whether the server's last answer is too old to start a request on.
+  // False for a short time after a probe without an answer: the server is then
+  // known to be slow.
   bool IsStale(base::Instant now) const;
-  // Starts a probe that a request waits for, whatever `quiet` says.
+  // Starts a probe that a request waits for, regardless of `quiet`. Returns its
+  // time limit, or nothing if a probe is running or the budget is used up.
   std::optional<base::Duration> StartOnDemand(base::Instant now);
   bool IsRunning() const { return running_; }
-  // The probe ended after `cost`.
+  // Call when the probe has ended after `cost`.
   void End(base::Duration cost, bool answered, base::Instant now);
 
   uint64_t probes() const { return probes_; }
@@ -58,7 +61,8 @@
     base::Duration cost;
   };
 
-  // Pays for a probe of up to `longest`; nothing if the budget is used up.
+  // Reserves budget for a probe of up to `longest`. Returns the time limit, or
+  // nothing if the budget is used up.
   std::optional<base::Duration> ReserveBudget(base::Duration longest,
                                               base::Instant now);
 
@@ -66,8 +70,9 @@
   base::Instant started_at_;
   base::Instant last_answer_;
   base::Instant last_probe_;
-  base::Instant known_unresponsive_until_;  // The last probe had no answer.
-  std::deque<BudgetUse> budget_uses_;       // Of the current window.
+  base::Instant
+      known_unresponsive_until_;       // Set after a probe without an answer.
+  std::deque<BudgetUse> budget_uses_;  // In the current window.
   bool running_ = false;
   uint64_t probes_ = 0;
   base::Duration spent_{};
--- a/src/libs/admission/queued_attempt.h
+++ b/src/libs/admission/queued_attempt.h
@@ -1,4 +1,4 @@
-// An attempt that waits for a slot.
+// An attempt that waits for a free slot.
 #ifndef ADMISSION_QUEUED_ATTEMPT_H_
 #define ADMISSION_QUEUED_ATTEMPT_H_
 
@@ -9,7 +9,8 @@
 
 namespace chestnutport::admission {
 
-// Names a flow, the requests of one tenant in one class, within a FairQueue.
+// Identifies a flow, the requests of one tenant in one class, within a
+// FairQueue.
 using FlowId = int;
 
 struct QueuedAttempt {
@@ -17,7 +18,7 @@
   FlowId flow = 0;
   base::Instant deadline;
   std::optional<base::Instant> target;
-  bool may_stop = false;  // One that runs may be stopped halfway.
+  bool may_stop = false;  // May be interrupted while it runs.
 };
 
 }  // namespace chestnutport::admission
--- a/src/libs/admission/server_crash_detector.h
+++ b/src/libs/admission/server_crash_detector.h
@@ -1,9 +1,10 @@
-// Tells that this node's server has ended while it ran requests, and which.
-// Pure: what is seen of the server comes in with its time.
+// Detects that this node's server crashed while it ran requests, and which
+// ones. Performs no I/O: observations are passed in with their time.
 //
-// A server that breaks off one request may be well. It has ended if after that
-// nobody listens at its address, or another start of it takes its place. All
-// that it broke off since it last answered, it ran when it ended.
+// A server that interrupts one request may still be healthy. It has crashed if
+// afterwards its address refuses connections, or a new incarnation replaces it.
+// It was then running all requests that it has interrupted since its last
+// answer.
 #ifndef ADMISSION_SERVER_CRASH_DETECTOR_H_
 #define ADMISSION_SERVER_CRASH_DETECTOR_H_
 
@@ -17,13 +18,15 @@
 
 namespace chestnutport::admission {
 
-// A request that the server got and broke off.
+// A request that was sent to the server and whose connection was lost before
+// the answer was complete.
 struct InterruptedRequest {
   base::RequestFingerprint fingerprint;
-  bool is_suspect = false;  // By the word of the node that sent it.
-  uint64_t life = 0;        // Of the server that ran it, as its node counts.
-  std::string instance;     // How that life names itself.
-  // The server was cold, and had got more than it tolerates.
+  bool is_suspect = false;  // As reported by the sending node.
+  // Incarnation number of the server, as counted by its node.
+  uint64_t life = 0;
+  std::string instance;  // Instance id reported by that incarnation.
+  // The server was cold and had got more requests than it tolerates.
   bool is_over_cold_rate = false;
   base::Instant started_at;
   base::Instant interrupted_at;
@@ -31,33 +34,33 @@
 
 class ServerCrashDetector {
  public:
-  // After the first sign of its end, what else it ran is found broken within
-  // this time: the ends of its connections come together, but are read one
-  // after the other by a node that has a fifth of a core.
+  // After the first sign of a crash, the loss of the other connections is seen
+  // within this time: they close together, but a node with a fifth of a core
+  // reads them one after the other.
   static constexpr std::chrono::milliseconds kCollectionTime{5};
-  // What was broken off longer before a sign of the end has another cause.
-  // Servers start again within seconds.
+  // Requests interrupted longer than this before the sign of a crash have
+  // another cause. Servers restart within seconds.
   static constexpr std::chrono::seconds kRetention{10};
-  // Kept of what is broken off, so that a server that breaks off everything
-  // costs no more.
+  // Bounds the memory for a server that interrupts every request.
   static constexpr size_t kMaxInterrupted = 1024;
 
   void OnInterrupted(const InterruptedRequest& request);
-  // The server answered a request or a probe that was begun at `begun`: it was
-  // well then, whatever it had broken off before.
+  // The server answered a request or a probe that started at `begun`: it was
+  // healthy then, so earlier interruptions were no crash.
   void OnAnswer(base::Instant begun);
-  // Nobody listens at the server's address.
+  // The server's address refuses connections.
   void OnConnectionRefused(base::Instant now);
-  // Another start of the server took its place.
+  // A new incarnation of the server has replaced it.
   void OnServerRestarted(base::Instant now);
 
-  // Something was broken off, and it is not known yet why.
+  // Returns whether requests were interrupted and the cause is not known yet.
   bool IsCrashSuspected() const {
     return !interrupted_.empty() && !crashed_at_;
   }
 
-  // What the server ran when it ended, once all of that is known. Once for each
-  // end; nothing if it ran nothing.
+  // Returns the requests that the server ran when it crashed, after the
+  // collection time has passed. Returns each crash once, and nothing if no
+  // request was running.
   std::optional<std::vector<InterruptedRequest>> TakeCrash(base::Instant now);
 
  private:
--- a/src/libs/admission/server_liveness.cc
+++ b/src/libs/admission/server_liveness.cc
@@ -8,20 +8,22 @@
 using base::Duration;
 using base::Instant;
 
-// Three are missing when half of the next interval has gone by as well.
-constexpr double kMissing = 3.5;
-// One was certainly to come since: announcements are some tenths late at most.
-constexpr int kOverdue = 2;
-constexpr Duration kShortestInterval = std::chrono::milliseconds(300);
-constexpr Duration kLongestInterval = std::chrono::seconds(10);
+// Time-out in intervals: three announcements are missing, plus half an interval
+// of tolerance.
+constexpr double kTimeoutIntervals = 3.5;
+// In intervals. Announcements are at most some tenths of an interval late, so
+// one is missing after this time.
+constexpr int kOverdueIntervals = 2;
+constexpr Duration kMinInterval = std::chrono::milliseconds(300);
+constexpr Duration kMaxInterval = std::chrono::seconds(10);
 
 }  // namespace
 
 void ServerLiveness::OnAnnounced(Instant now) {
   if (announced_) {
-    // Follows a longer interval at once and a shorter one slowly.
+    // Follows a longer interval at once and a shorter one gradually.
     const Duration gap =
-        std::clamp(now - last_announced_, kShortestInterval, kLongestInterval);
+        std::clamp(now - last_announced_, kMinInterval, kMaxInterval);
     interval_ = std::max(gap, interval_ - interval_ / 8);
   }
   announced_ = true;
@@ -33,14 +35,14 @@
 }
 
 bool ServerLiveness::IsAlive(Instant now) const {
-  const auto patience = std::chrono::duration_cast<Duration>(
-      std::chrono::duration<double>(interval_) * kMissing);
+  const auto timeout = std::chrono::duration_cast<Duration>(
+      std::chrono::duration<double>(interval_) * kTimeoutIntervals);
   const Instant last_sign = std::max(last_announced_, last_answer_);
-  return announced_ && now - last_sign <= patience;
+  return announced_ && now - last_sign <= timeout;
 }
 
 bool ServerLiveness::IsAnnouncementOverdue(Instant now) const {
-  return !announced_ || now - last_announced_ > kOverdue * interval_;
+  return !announced_ || now - last_announced_ > kOverdueIntervals * interval_;
 }
 
 }  // namespace chestnutport::admission
--- a/src/libs/admission/server_liveness.h
+++ b/src/libs/admission/server_liveness.h
@@ -1,5 +1,5 @@
-// Judges whether this node's server is still there. Its announcements say so;
-// when they stop, traffic that it still answers is trusted over their absence.
+// Decides whether this node's server is alive: it announces itself
+// periodically, and answers to traffic count when announcements stop.
 #ifndef ADMISSION_SERVER_LIVENESS_H_
 #define ADMISSION_SERVER_LIVENESS_H_
 
@@ -12,17 +12,18 @@
   void OnAnnounced(base::Instant now);
   // The server answered a request or a probe.
   void OnAnswer(base::Instant now);
-  // It said that it leaves.
+  // The server announced that it leaves.
   void OnLeft() { announced_ = false; }
 
-  // False once three announcements in a row are missing and nothing was
-  // answered for as long.
+  // Returns false if three announcements in a row are missing and the server
+  // answered nothing in that time.
   bool IsAlive(base::Instant now) const;
 
-  // Its announcement is missing for twice the usual time, or there was none.
+  // Returns whether there was no announcement, or none for twice the usual
+  // interval.
   bool IsAnnouncementOverdue(base::Instant now) const;
 
-  // The usual time between two announcements, as seen.
+  // The observed interval between announcements.
   base::Duration interval() const { return interval_; }
 
  private:
--- a/src/libs/admission/server_performance.cc
+++ b/src/libs/admission/server_performance.cc
@@ -10,24 +10,26 @@
 using base::Instant;
 using Seconds = std::chrono::duration<double>;
 
-// Spells of slowness last some 300 ms; half of that after it was said, the
-// word is as likely to be wrong as right.
-constexpr Duration kTrusted = std::chrono::milliseconds(150);
-// Twice the usual time leaves an answer within its target as a rule, which is
-// about three times the mean work; a spell is four times.
-constexpr double kSlow = 1.8;
-// What a probe without an answer says: the slowness of a usual spell.
-constexpr double kSilentSlowness = 4;
-// The weight of one result: some five are enough to tell a faulty server.
+// Validity of a slowness report. Slow periods last about 300 ms; after half of
+// that, a report is as likely to be wrong as right.
+constexpr Duration kReportValidity = std::chrono::milliseconds(150);
+// Slowness from which a server is degraded. At twice the usual service time
+// most answers still meet their target, which is about three times the mean;
+// slow periods reach four times.
+constexpr double kDegradedSlowness = 1.8;
+// Slowness assumed after a probe time-out: that of a usual slow period.
+constexpr double kTimeoutSlowness = 4;
+// Smoothing factor of the failure share: about five results reveal a faulty
+// server.
 constexpr double kResultWeight = 0.2;
-// Servers fail a few requests in a hundred on their own account; a faulty one
-// fails a third or more.
-constexpr double kFaulty = 0.3;
-// A server that fails all its requests is not infinitely bad: it may be well
-// again by now.
-constexpr double kMostFailures = 0.95;
-// Without further results a faulty server is tried again after about this.
-constexpr Seconds kForgetting(1.0);
+// Failure share from which a server is faulty. Healthy servers fail a few
+// requests in a hundred; faulty ones a third or more.
+constexpr double kFaultyShare = 0.3;
+// Bounds the strain of a server that fails all requests: it may have recovered.
+constexpr double kMaxFailureShare = 0.95;
+// Half-life of the failure share: a faulty server without further results is
+// tried again after about this time.
+constexpr Seconds kFailureHalfLife(1.0);
 
 }  // namespace
 
@@ -43,11 +45,11 @@
 }
 
 void ServerPerformance::OnProbeTimeout(Instant now) {
-  OnSlowness(std::max(Slowness(now), kSilentSlowness), now);
+  OnSlowness(std::max(Slowness(now), kTimeoutSlowness), now);
 }
 
 double ServerPerformance::Slowness(Instant now) const {
-  return now - slowness_at_ <= kTrusted ? slowness_ : 1;
+  return now - slowness_at_ <= kReportValidity ? slowness_ : 1;
 }
 
 std::optional<Duration> ServerPerformance::SlownessAge(Instant now) const {
@@ -57,17 +59,18 @@
 }
 
 double ServerPerformance::FailureShare(Instant now) const {
-  return failures_ * std::exp2(-(Seconds(now - failures_at_) / kForgetting));
+  return failures_ *
+         std::exp2(-(Seconds(now - failures_at_) / kFailureHalfLife));
 }
 
 double ServerPerformance::Strain(Instant now) const {
-  return Slowness(now) / (1 - std::min(FailureShare(now), kMostFailures));
+  return Slowness(now) / (1 - std::min(FailureShare(now), kMaxFailureShare));
 }
 
 std::optional<double> ServerPerformance::KnownStrain(Instant now) const {
   const std::optional<Duration> age = SlownessAge(now);
   const bool has_result = failures_at_ != Instant();
-  const bool is_known = age ? *age <= kTrusted : has_result;
+  const bool is_known = age ? *age <= kReportValidity : has_result;
   if (!is_known)
     return std::nullopt;
   return Strain(now);
@@ -75,8 +78,8 @@
 
 bool ServerPerformance::IsDegraded(Instant now, double usual_strain) const {
   const double strain = Strain(now) / usual_strain;
-  return strain >= kSlow ||
-         (FailureShare(now) >= kFaulty && strain >= 1 / (1 - kFaulty));
+  return strain >= kDegradedSlowness || (FailureShare(now) >= kFaultyShare &&
+                                         strain >= 1 / (1 - kFaultyShare));
 }
 
 }  // namespace chestnutport::admission
--- a/src/libs/admission/server_performance.h
+++ b/src/libs/admission/server_performance.h
@@ -1,9 +1,9 @@
-// How well the server beside a gate does its work at this moment: how slow its
-// VM is, by its own word, and what share of its requests it fails.
+// The current performance of the server behind a gate: how slow its VM is, as
+// reported by the server, and the share of requests that fail.
 //
 // A neighbour on the same VM may slow a server down several times for some
 // hundred milliseconds, and a faulty server may fail requests while its health
-// check is good. Both are known first at the gate, which sees every answer.
+// check passes. The gate sees both first, because it sees every answer.
 #ifndef ADMISSION_SERVER_PERFORMANCE_H_
 #define ADMISSION_SERVER_PERFORMANCE_H_
 
@@ -15,30 +15,33 @@
 
 class ServerPerformance {
  public:
-  // The server said how many times longer than usual its work takes.
+  // The server reported its slowness: current service time divided by the usual
+  // one.
   void OnSlowness(double slowness, base::Instant now);
-  // A request that was handed to the server was answered well, or not.
+  // A request that was sent to the server succeeded or failed.
   void OnResult(bool is_good, base::Instant now);
-  // A probe had no answer in time though it is answered at once as a rule.
+  // A probe timed out, although probes are usually answered at once.
   void OnProbeTimeout(base::Instant now);
-  // Another server, or another life of it, is there from now on.
+  // Call when another server, or a new incarnation of it, has taken over.
   void Reset() { *this = ServerPerformance(); }
 
-  // What was last said, while it is recent; else 1.
+  // Returns the last reported slowness, or 1 if the report is too old.
   double Slowness(base::Instant now) const;
-  // How old the server's last word on its slowness is; nothing: there is none.
+  // Returns the age of the last slowness report, or nothing if there was none.
   std::optional<base::Duration> SlownessAge(base::Instant now) const;
-  // Of the recent results, the share that was no good; forgotten with time.
+  // Returns the share of failures among recent results; decays with time.
   double FailureShare(base::Instant now) const;
-  // How many times the usual work a good answer costs, as failures cost it too.
+  // Returns the expected cost of a successful answer as a multiple of the usual
+  // work: the slowness, divided by the success rate.
   double Strain(base::Instant now) const;
-  // The strain, if it is known at `now`; nothing: the server's last word is too
-  // old, or there was neither a word nor a result. Others that took no word for
-  // a good one would hold every server that tells its slowness for a poor one.
+  // Returns the strain, or nothing if the last slowness report is too old, or
+  // if there was neither a report nor a result. Treating a missing report as a
+  // good one would make every server that does report slowness look degraded to
+  // other nodes.
   std::optional<double> KnownStrain(base::Instant now) const;
-  // Whether a request does better at another server, if the strain of those is
-  // `usual_strain` as a rule: when all servers fail or are slow alike, looking
-  // for a better one is in vain.
+  // Returns whether a request would do better at another server, given the
+  // usual strain of the service. If all servers are equally slow or faulty, no
+  // other server is better.
   bool IsDegraded(base::Instant now, double usual_strain = 1) const;
 
  private:
--- a/src/libs/admission/smoothed_mean.h
+++ b/src/libs/admission/smoothed_mean.h
@@ -1,4 +1,4 @@
-// The mean of samples, in which older ones count less and less.
+// Exponentially weighted moving average.
 #ifndef ADMISSION_SMOOTHED_MEAN_H_
 #define ADMISSION_SMOOTHED_MEAN_H_
 
@@ -9,9 +9,9 @@
 
 class SmoothedMean {
  public:
-  // `gain`: the weight of one sample once there are many. The first ones weigh
-  // alike: were the first the mean, it would take sixty more to make up for it
-  // at a gain of 0.05.
+  // `gain`: the smoothing factor, the weight of a new sample once there are
+  // many. The first samples have equal weight: if the first one alone set the
+  // mean, it would take sixty more to correct it at a gain of 0.05.
   explicit SmoothedMean(double gain) : gain_(gain) {}
 
   void Add(double sample) {
@@ -20,7 +20,7 @@
     mean_ += std::max(gain_, weight) * (sample - mean_);
   }
 
-  // Zero without samples.
+  // The mean, or 0 without samples.
   double mean() const { return mean_; }
   int64_t count() const { return count_; }
 
--- a/src/libs/admission/traffic_shares.h
+++ b/src/libs/admission/traffic_shares.h
@@ -1,4 +1,4 @@
-// How a server is shared out under contention, as declared.
+// Declared shares of a server under contention.
 #ifndef ADMISSION_TRAFFIC_SHARES_H_
 #define ADMISSION_TRAFFIC_SHARES_H_
 
@@ -9,7 +9,7 @@
 
 struct ClassUrgency {
   std::string name;
-  int urgency = 1;  // A lower one goes first.
+  int urgency = 1;  // Lower values go first.
 
   bool operator==(const ClassUrgency&) const = default;
 };
@@ -22,8 +22,9 @@
 };
 
 struct TrafficShares {
-  std::vector<ClassUrgency> classes;  // Others count as the least urgent.
-  std::vector<TenantShare> tenants;   // Each other one has a share of 1.
+  std::vector<ClassUrgency>
+      classes;                       // Undeclared classes are the least urgent.
+  std::vector<TenantShare> tenants;  // Undeclared tenants have a share of 1.
 
   bool operator==(const TrafficShares&) const = default;
 };
--- a/tests/auto/admission/admission_property_test.cc
+++ b/tests/auto/admission/admission_property_test.cc
@@ -1,5 +1,5 @@
-// Random interleavings of all that can happen to attempts, judged by what an
-// onlooker sees. Each property is shown to fail by a broken variant.
+// Checks the invariants of admission on random sequences of events. Each
+// invariant is shown to be checked by a faulty variant that violates it.
 #include <rapidcheck/catch.h>
 
 #include <catch2/catch.hpp>
@@ -24,7 +24,7 @@
 constexpr int kQueue = 3;
 constexpr int kAttempts = 20;
 
-enum class Deed {
+enum class EventKind {
   kArrive,
   kFinish,
   kShed,
@@ -35,15 +35,17 @@
   kRestart
 };
 
-// Arrivals often enough that the queue fills up.
-constexpr Deed kDeeds[] = {
-    Deed::kArrive, Deed::kArrive,  Deed::kArrive,  Deed::kArrive, Deed::kArrive,
-    Deed::kArrive, Deed::kFinish,  Deed::kShed,    Deed::kCancel, Deed::kTick,
-    Deed::kDrain,  Deed::kUndrain, Deed::kUndrain, Deed::kRestart};
-constexpr int kDeedCount = std::size(kDeeds);
+// Arrivals are frequent enough to fill the queue.
+constexpr EventKind kEventKinds[] = {
+    EventKind::kArrive,  EventKind::kArrive, EventKind::kArrive,
+    EventKind::kArrive,  EventKind::kArrive, EventKind::kArrive,
+    EventKind::kFinish,  EventKind::kShed,   EventKind::kCancel,
+    EventKind::kTick,    EventKind::kDrain,  EventKind::kUndrain,
+    EventKind::kUndrain, EventKind::kRestart};
+constexpr int kEventKindCount = std::size(kEventKinds);
 
 struct Event {
-  Deed deed;
+  EventKind kind;
   int attempt;
   int pause_ms;
 };
@@ -52,73 +54,74 @@
   AdmissionOptions options;
   options.slots = kSlots;
   options.queue = kQueue;
-  options.ledger.max_finished = 4;  // So that ends are forgotten early.
+  options.ledger.max_finished = 4;  // So that records are dropped early.
   options.ledger.retention = milliseconds(40);
   options.shares.classes = {{"flood-watch", 1}, {"bulk", 2}};
   return options;
 }
 
-// What an onlooker saw of one attempt.
-struct Seen {
+// What was observed of one attempt.
+struct AttemptRecord {
   int arrivals = 0;
   int starts = 0;
   int answers = 0;
-  bool said_not_run = false;
+  bool reported_not_run = false;
 };
 
 template <typename Admission>
-class Onlooker {
+class InvariantChecker {
  public:
-  explicit Onlooker(const AdmissionOptions& options = Options())
+  explicit InvariantChecker(const AdmissionOptions& options = Options())
       : admission_(options) {}
 
-  std::set<std::string> Watch(const std::vector<Event>& events) {
+  std::set<std::string> Run(const std::vector<Event>& events) {
     for (const Event& event : events)
-      Do(event);
+      Process(event);
     admission_.StopDrain();
-    Do({Deed::kTick, 0, 1000});
+    Process({EventKind::kTick, 0, 1000});
     while (!running_.empty())
       End(*running_.begin(), ServerResult::kAnswered);
-    for (const auto& [id, seen] : seen_)
-      Expect(seen.answers == seen.arrivals, "one final answer for an arrival");
+    for (const auto& [id, record] : records_)
+      Expect(record.answers == record.arrivals,
+             "one final answer for an arrival");
     Expect(admission_.IsEmpty(), "empty at the end");
     return violations_;
   }
 
  private:
-  void Do(const Event& event) {
+  void Process(const Event& event) {
     now_ += milliseconds(event.pause_ms);
     const AttemptId id{1, static_cast<uint64_t>(event.attempt) + 1};
-    switch (event.deed) {
-      case Deed::kArrive:
-        ++seen_[id].arrivals;
-        See(admission_.Arrive(
+    switch (event.kind) {
+      case EventKind::kArrive:
+        ++records_[id].arrivals;
+        Apply(admission_.Arrive(
             {id, event.attempt % 3 ? "a" : "b",
              event.attempt % 2 ? "bulk" : "flood-watch",
              now_ + milliseconds(event.attempt < 8 ? 30 : 900)},
             now_));
         break;
-      case Deed::kFinish:
-      case Deed::kShed:
+      case EventKind::kFinish:
+      case EventKind::kShed:
         if (running_.contains(id))
-          End(id, event.deed == Deed::kShed ? ServerResult::kShed
-                                            : ServerResult::kAnswered);
+          End(id, event.kind == EventKind::kShed ? ServerResult::kShed
+                                                 : ServerResult::kAnswered);
         break;
-      case Deed::kCancel:
+      case EventKind::kCancel:
         Cancel(id);
         break;
-      case Deed::kTick:
-        See(admission_.Tick(now_));
+      case EventKind::kTick:
+        Apply(admission_.Tick(now_));
         break;
-      case Deed::kDrain:
+      case EventKind::kDrain:
         draining_ = true;
-        See(admission_.StartDrain(now_));
+        Apply(admission_.StartDrain(now_));
         break;
-      case Deed::kUndrain:
+      case EventKind::kUndrain:
         draining_ = false;
         admission_.StopDrain();
         break;
-      case Deed::kRestart:
+      case EventKind::kRestart:
         admission_.OnServerStarted(now_);
         break;
     }
@@ -129,41 +132,43 @@
   void Cancel(const AttemptId& id) {
     const AttemptState before = admission_.Cancel(id, now_);
     if (before == AttemptState::kQueued)
-      ++seen_[id].answers;
+      ++records_[id].answers;
     if (before == AttemptState::kQueued || before == AttemptState::kNeverRuns)
-      SayNotRun(id);
+      ReportNotRun(id);
   }
 
   void End(AttemptId id, ServerResult result) {
     running_.erase(id);
-    ++seen_[id].answers;
+    ++records_[id].answers;
     if (result == ServerResult::kShed) {
-      --seen_[id].starts;  // The server says that it did not run.
-      SayNotRun(id);
+      --records_[id].starts;  // The server reported that it did not run.
+      ReportNotRun(id);
     }
-    See(admission_.Finish(id, now_, result));
+    Apply(admission_.Finish(id, now_, result));
   }
 
-  void See(const AdmissionActions& actions) {
+  void Apply(const AdmissionActions& actions) {
     for (const AdmissionAction& action : actions) {
-      Seen& seen = seen_[action.attempt];
+      AttemptRecord& record = records_[action.attempt];
       if (action.kind == ActionKind::kStart) {
-        ++seen.starts;
+        ++record.starts;
         running_.insert(action.attempt);
-        Expect(seen.starts == 1, "at most once");
-        Expect(!seen.said_not_run, "not run is true");
+        Expect(record.starts == 1, "at most once");
+        Expect(!record.reported_not_run,
+               "an attempt reported as not run does not run");
         Expect(!draining_, "no work after drain");
         continue;
       }
-      ++seen.answers;
+      ++record.answers;
       if (base::AnswerTo(action.error).outcome == base::Outcome::kNotRun)
-        SayNotRun(action.attempt);
+        ReportNotRun(action.attempt);
     }
   }
 
-  void SayNotRun(const AttemptId& id) {
-    seen_[id].said_not_run = true;
-    Expect(seen_[id].starts == 0, "not run is true");
+  void ReportNotRun(const AttemptId& id) {
+    records_[id].reported_not_run = true;
+    Expect(records_[id].starts == 0,
+           "an attempt reported as not run does not run");
   }
 
   void Expect(bool holds, const std::string& property) {
@@ -174,13 +179,13 @@
   Admission admission_;
   Instant now_{std::chrono::hours(1)};
   bool draining_ = false;
-  std::map<AttemptId, Seen> seen_;
+  std::map<AttemptId, AttemptRecord> records_;
   std::set<AttemptId> running_;
   std::set<std::string> violations_;
 };
 
-// Broken variants, each for the property that it must fail.
-struct RunsAgain : AdmissionController {
+// Faulty variants, each of which violates one invariant.
+struct RunsAttemptTwice : AdmissionController {
   using AdmissionController::AdmissionController;
   AdmissionActions Arrive(Arrival arrival, Instant now) {
     const AttemptId said = arrival.attempt;
@@ -193,7 +198,7 @@
   uint64_t lives = 1;
 };
 
-struct CancelsWithoutBar : AdmissionController {
+struct CancelsWithoutRecord : AdmissionController {
   using AdmissionController::AdmissionController;
   AttemptState Cancel(const AttemptId& id, Instant now) {
     const AttemptState state = State(id);
@@ -203,7 +208,7 @@
   }
 };
 
-struct SaysNotRunOfRunning : AdmissionController {
+struct ReportsRunningAsNotRun : AdmissionController {
   using AdmissionController::AdmissionController;
   AttemptState Cancel(const AttemptId& id, Instant now) {
     AdmissionController::Cancel(id, now);
@@ -211,13 +216,13 @@
   }
 };
 
-struct OneSlotMore : AdmissionController {
-  explicit OneSlotMore(AdmissionOptions options)
+struct ExceedsSlots : AdmissionController {
+  explicit ExceedsSlots(AdmissionOptions options)
       : AdmissionController((++options.slots, options)) {}
 };
 
-struct LongerQueue : AdmissionController {
-  explicit LongerQueue(AdmissionOptions options)
+struct ExceedsQueue : AdmissionController {
+  explicit ExceedsQueue(AdmissionOptions options)
       : AdmissionController((++options.queue, options)) {}
 };
 
@@ -226,7 +231,7 @@
   AdmissionActions StartDrain(Instant) { return {}; }
 };
 
-struct ForgetsToAnswer : AdmissionController {
+struct DropsRefusals : AdmissionController {
   using AdmissionController::AdmissionController;
   AdmissionActions Tick(Instant now) {
     auto actions = AdmissionController::Tick(now);
@@ -238,43 +243,45 @@
 };
 
 template <typename Admission>
-bool IsCaught(const std::string& property) {
+bool ViolatesProperty(const std::string& property) {
   base::Random random(7);
   const auto draw = [&random](int end) {
     return static_cast<int>(random() % end);
   };
-  for (int story = 0; story < 300; ++story) {
+  for (int sequence = 0; sequence < 300; ++sequence) {
     std::vector<Event> events(60);
     for (Event& event : events)
-      event = {kDeeds[draw(kDeedCount)], draw(kAttempts), draw(20)};
-    if (Onlooker<Admission>().Watch(events).contains(property))
+      event = {kEventKinds[draw(kEventKindCount)], draw(kAttempts), draw(20)};
+    if (InvariantChecker<Admission>().Run(events).contains(property))
       return true;
   }
   return false;
 }
 
-TEST_CASE("admission keeps its promises in any order of events") {
+TEST_CASE("admission invariants hold for any order of events") {
   rc::prop("no violation", [] {
     const auto raw =
         *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
-            rc::gen::tuple(rc::gen::inRange(0, kDeedCount),
+            rc::gen::tuple(rc::gen::inRange(0, kEventKindCount),
                            rc::gen::inRange(0, kAttempts),
                            rc::gen::inRange(0, 20)));
     std::vector<Event> events;
-    for (const auto& [deed, attempt, pause] : raw)
-      events.push_back({kDeeds[deed], attempt, pause});
-    RC_ASSERT(Onlooker<AdmissionController>().Watch(events).empty());
+    for (const auto& [kind, attempt, pause] : raw)
+      events.push_back({kEventKinds[kind], attempt, pause});
+    RC_ASSERT(InvariantChecker<AdmissionController>().Run(events).empty());
   });
 
-  SECTION("and a broken variant of each promise is noticed") {
-    CHECK(IsCaught<RunsAgain>("at most once"));
-    CHECK(IsCaught<CancelsWithoutBar>("not run is true"));
-    CHECK(IsCaught<SaysNotRunOfRunning>("not run is true"));
-    CHECK(IsCaught<OneSlotMore>("slots not exceeded"));
-    CHECK(IsCaught<LongerQueue>("queue not exceeded"));
-    CHECK(IsCaught<IgnoresDrain>("no work after drain"));
-    CHECK(IsCaught<ForgetsToAnswer>("one final answer for an arrival"));
-    CHECK_FALSE(IsCaught<AdmissionController>("at most once"));
+  SECTION("a faulty variant violates each invariant") {
+    CHECK(ViolatesProperty<RunsAttemptTwice>("at most once"));
+    CHECK(ViolatesProperty<CancelsWithoutRecord>(
+        "an attempt reported as not run does not run"));
+    CHECK(ViolatesProperty<ReportsRunningAsNotRun>(
+        "an attempt reported as not run does not run"));
+    CHECK(ViolatesProperty<ExceedsSlots>("slots not exceeded"));
+    CHECK(ViolatesProperty<ExceedsQueue>("queue not exceeded"));
+    CHECK(ViolatesProperty<IgnoresDrain>("no work after drain"));
+    CHECK(ViolatesProperty<DropsRefusals>("one final answer for an arrival"));
+    CHECK_FALSE(ViolatesProperty<AdmissionController>("at most once"));
   }
 }
 
--- a/tests/auto/admission/admission_story_test.cc
+++ b/tests/auto/admission/admission_story_test.cc
@@ -1,4 +1,6 @@
-// The life of attempts at the gate of one server.
+// Attempts at the gate of one server: queueing, deadlines, fairness and
+// draining, and requests that must not be sent late after the process was
+// paused.
 #include <catch2/catch.hpp>
 
 #include "admission/admission_controller.h"
@@ -29,7 +31,7 @@
   const auto finish = [&](uint64_t sequence) {
     return admission.Finish({1, sequence}, now, ServerResult::kAnswered);
   };
-  // Ten requests of 100 ms teach it what a request takes.
+  // Ten requests of 100 ms set the service time estimate.
   for (int i = 0; i < 10; ++i) {
     REQUIRE(arrive(seconds(1)).at(0).kind == ActionKind::kStart);
     now += milliseconds(100);
@@ -52,12 +54,12 @@
     CHECK(arrive(seconds(2)).at(0).error == ErrorKind::kDeadlineTooClose);
   }
 
-  SECTION("lets others wait") {
+  SECTION("queues further requests") {
     REQUIRE(arrive(milliseconds(200), "rush").empty());
     REQUIRE(arrive(seconds(9), "rush").empty());
     CHECK(admission.Load(now).queued == 2);
 
-    SECTION("and starts them by deadline as others end") {
+    SECTION("and starts the earliest deadline first") {
       const auto started = finish(11);
       REQUIRE(started.size() == 1);
       CHECK(started[0].attempt == AttemptId{1, 13});
@@ -71,7 +73,7 @@
       CHECK(admission.State(expired[0].attempt) == AttemptState::kNeverRuns);
     }
 
-    SECTION("and pushes out the rush for another tenant's request") {
+    SECTION("and evicts a request of the busy tenant for another tenant") {
       const auto pushed_out = arrive(seconds(9), "quiet");
       REQUIRE(pushed_out.size() == 1);
       CHECK(pushed_out[0].error == ErrorKind::kOverloaded);
@@ -79,7 +81,7 @@
       CHECK(admission.State({1, 15}) == AttemptState::kQueued);
     }
 
-    SECTION("and refuses them when it drains, while two finish") {
+    SECTION("and refuses them on a drain, while two running ones finish") {
       CHECK(admission.StartDrain(now).size() == 2);
       CHECK(arrive(seconds(9)).at(0).error == ErrorKind::kDraining);
       CHECK(finish(11).empty());
@@ -91,13 +93,13 @@
     }
   }
 
-  SECTION("gives less to a server that sheds") {
+  SECTION("lowers the limit of a server that sheds") {
     admission.Finish({1, 12}, now, ServerResult::kShed);
     CHECK(admission.Load(now).limit == 1);
   }
 }
 
-TEST_CASE("a node that was stopped sends nothing late") {
+TEST_CASE("a node that was paused sends nothing late") {
   AdmissionController admission({});
   PauseDetector watch(kStart);
   const AttemptId id{1, 1};
--- a/tests/auto/admission/attempt_ledger_test.cc
+++ b/tests/auto/admission/attempt_ledger_test.cc
@@ -1,4 +1,5 @@
-// What is remembered of attempts, and what may be forgotten.
+// Guards against an attempt that runs twice, or runs after it was reported as
+// never running, once its ledger record was dropped.
 #include <catch2/catch.hpp>
 
 #include "admission/admission_controller.h"
@@ -23,11 +24,11 @@
   };
   REQUIRE(arrive({1, 5}, kStart).kind == ActionKind::kStart);
 
-  SECTION("while it runs a cancellation says so") {
+  SECTION("a cancellation reports that it is running") {
     CHECK(admission.Cancel({1, 5}, kStart) == AttemptState::kRunning);
   }
 
-  SECTION("what the server shed never runs") {
+  SECTION("an attempt that the server shed never runs") {
     admission.Finish({1, 5}, kStart, ServerResult::kShed);
     CHECK(admission.Cancel({1, 5}, kStart) == AttemptState::kNeverRuns);
   }
@@ -37,7 +38,7 @@
     CHECK(arrive({1, 5}, kStart).error == ErrorKind::kDuplicateAttempt);
     CHECK(admission.Cancel({1, 5}, kStart) == AttemptState::kFinished);
 
-    SECTION("and its record is dropped after two minutes") {
+    SECTION("and its record is dropped after its retention") {
       const Instant later = kStart + minutes(3);
       admission.Tick(later);
       CHECK(admission.State({1, 5}) == AttemptState::kUnknown);
@@ -47,7 +48,7 @@
       CHECK(arrive({2, 5}, later).kind == ActionKind::kStart);
     }
 
-    SECTION("or earlier, in a flood of refusals, as safely") {
+    SECTION("or earlier, after many refusals, and still does not run twice") {
       for (uint64_t i = 0; i < 500; ++i)
         admission.Arrive({{9, i + 1}, "", "", kStart}, kStart);
       CHECK(admission.Cancel({1, 5}, kStart) == AttemptState::kUnknown);
@@ -55,7 +56,7 @@
     }
   }
 
-  SECTION("a question bars nothing, a cancellation does") {
+  SECTION("a cancelled attempt never runs, a queried one may") {
     CHECK(admission.State({1, 7}) == AttemptState::kUnknown);
     CHECK(admission.Cancel({1, 7}, kStart) == AttemptState::kNeverRuns);
     CHECK(arrive({1, 7}, kStart).error == ErrorKind::kCancelled);
--- a/tests/auto/admission/body_placement_test.cc
+++ b/tests/auto/admission/body_placement_test.cc
@@ -1,12 +1,14 @@
-// Plays large requests and small ones at gates behind narrow links, and counts
-// what callers get, with the decisions that the gates use.
+// Guards against request bodies that are sent to several gates in an overload:
+// they use up narrow links, and small requests come too late. Simulates gates
+// with the admission decisions of the product and counts the requests answered
+// in time.
 //
-// The load is a rush, a sixth more than can be served, at a service of 16
-// servers with four usable slots each, whose VMs have links of 12 Mbit/s:
-// uploads of 60 kB, and lookups for which other servers wait. A quarter of the
-// VMs is slow at a time, in spells, and takes nothing that can go elsewhere;
-// the slots of the others are in use, so that a request is handed back as often
-// as not. All times are virtual, and the random numbers are seeded.
+// The load exceeds the capacity by a sixth: 16 servers with four slots each, on
+// VMs with links of 12 Mbit/s, get uploads of 60 kB and lookups that other
+// servers wait for. A quarter of the VMs is slow at any time and takes nothing
+// that can be served elsewhere; the slots of the others are in use, so that
+// about half of the requests are returned. Time is virtual and the random
+// numbers are seeded.
 #include <catch2/catch.hpp>
 #include <functional>
 #include <map>
@@ -30,44 +32,44 @@
 constexpr int kGates = 16;
 constexpr int kSlots = 4;
 constexpr double kBytesPerSecond = 12e6 / 8;
-constexpr Duration kHop = milliseconds(1);  // Between two nodes, one way.
-constexpr milliseconds kSpell(300);
+constexpr Duration kHop = milliseconds(1);  // One-way delay between two nodes.
+constexpr milliseconds kSlowPeriod(300);
 constexpr double kSlowShare = 0.25;
 
-struct Kind {
+struct RequestKind {
   double per_second = 0;
   double bytes = 0;
   milliseconds work{};
   milliseconds target{};
 };
 
-constexpr Kind kUpload{115, 60000, milliseconds(140), milliseconds(800)};
-constexpr Kind kLookup{1300, 500, milliseconds(30), milliseconds(120)};
+constexpr RequestKind kUpload{115, 60000, milliseconds(140), milliseconds(800)};
+constexpr RequestKind kLookup{1300, 500, milliseconds(30), milliseconds(120)};
 
 struct Request {
-  const Kind* kind = nullptr;
+  const RequestKind* kind = nullptr;
   base::AttemptId id;
   Instant sent_at;
   int moves = 0;
 };
 
 struct Outcome {
-  double uploads_in_time = 0;  // Share of those asked for.
+  double uploads_in_time = 0;  // Share of the uploads requested.
   double lookups_in_time = 0;
-  double bytes = 0;  // Carried for each upload.
+  double bytes = 0;  // Bytes transmitted per upload.
 };
 
-class Play {
+class Simulation {
  public:
-  Play(bool inquires, int moves_if_full, uint64_t seed)
+  Simulation(bool inquires, int moves_if_full, uint64_t seed)
       : inquires_(inquires), moves_if_full_(moves_if_full), random_(seed) {
     AdmissionOptions options;
     options.slots = kSlots;
     options.adaptive = false;
     for (int i = 0; i < kGates; ++i)
       gates_.emplace_back(options);
-    Ask(kUpload);
-    Ask(kLookup);
+    GenerateRequests(kUpload);
+    GenerateRequests(kLookup);
   }
 
   Outcome Run() {
@@ -76,7 +78,7 @@
       now_ = event.key();
       event.mapped()();
     }
-    return {Share(kUpload), Share(kLookup), carried_ / asked_[&kUpload]};
+    return {Share(kUpload), Share(kLookup), carried_ / requested_[&kUpload]};
   }
 
  private:
@@ -87,22 +89,25 @@
     std::map<base::AttemptId, Request> requests;
   };
 
-  double Share(const Kind& kind) { return in_time_[&kind] / asked_[&kind]; }
+  double Share(const RequestKind& kind) {
+    return in_time_[&kind] / requested_[&kind];
+  }
 
   void After(Duration delay, std::function<void()> what) {
     events_.emplace(now_ + delay, std::move(what));
   }
 
-  // Requests of a kind, one after the other.
-  void Ask(const Kind& kind) {
+  // Generates requests of one kind at random times.
+  void GenerateRequests(const RequestKind& kind) {
     if (now_ > kStart + std::chrono::duration_cast<Duration>(kLength))
       return;
     Request request{&kind, {1, ++last_}, now_};
-    asked_[&kind] += 1;
+    requested_[&kind] += 1;
     Place(request);
     const Seconds gap(
         std::exponential_distribution<double>(kind.per_second)(random_));
-    After(std::chrono::duration_cast<Duration>(gap), [&] { Ask(kind); });
+    After(std::chrono::duration_cast<Duration>(gap),
+          [&] { GenerateRequests(kind); });
   }
 
   void Place(Request request) {
@@ -112,35 +117,35 @@
     if (inquires_ && request.kind == &kUpload)
       After(kHop, [this, index, request] { Inquire(index, request); });
     else
-      Carry(index, request);
+      Transmit(index, request);
   }
 
   void Inquire(size_t index, const Request& request) {
-    if (HandsBack(index, request))
-      After(kHop, [this, request] { Move(request); });
+    if (ShouldMoveElsewhere(index, request))
+      After(kHop, [this, request] { MoveElsewhere(request); });
     else if (!gates_[index].admission.CheckRefusal(ToArrival(request), now_))
-      After(kHop, [this, index, request] { Carry(index, request); });
+      After(kHop, [this, index, request] { Transmit(index, request); });
   }
 
-  bool HandsBack(size_t index, const Request& request) const {
+  bool ShouldMoveElsewhere(size_t index, const Request& request) const {
     const bool is_full = !gates_[index].admission.HasCapacity(now_);
     return (IsSlow(index) && request.moves < calls::kUsualMoves.if_poor) ||
            (is_full && request.moves < moves_if_full_);
   }
 
   bool IsSlow(size_t index) const {
-    const auto spell = static_cast<uint64_t>((now_ - kStart) / kSpell);
-    base::Random random(spell * kGates + index);
+    const auto period = static_cast<uint64_t>((now_ - kStart) / kSlowPeriod);
+    base::Random random(period * kGates + index);
     return std::bernoulli_distribution(kSlowShare)(random);
   }
 
-  void Move(Request request) {
+  void MoveElsewhere(Request request) {
     ++request.moves;
     Place(request);
   }
 
-  // The bytes of all requests to a gate share its link.
-  void Carry(size_t index, const Request& request) {
+  // All requests to a gate share its link.
+  void Transmit(size_t index, const Request& request) {
     Gate& gate = gates_[index];
     const Seconds time(request.kind->bytes / kBytesPerSecond);
     gate.link_free_at = std::max(gate.link_free_at, now_) +
@@ -154,8 +159,8 @@
   void Arrive(size_t index, const Request& request) {
     Gate& gate = gates_[index];
     const bool was_asked = inquires_ && request.kind == &kUpload;
-    if (!was_asked && HandsBack(index, request)) {
-      After(kHop, [this, request] { Move(request); });
+    if (!was_asked && ShouldMoveElsewhere(index, request)) {
+      After(kHop, [this, request] { MoveElsewhere(request); });
       return;
     }
     gate.requests[request.id] = request;
@@ -190,17 +195,17 @@
   uint64_t last_ = 0;
   std::vector<Gate> gates_;
   std::multimap<Instant, std::function<void()>> events_;
-  std::map<const Kind*, double> asked_;
-  std::map<const Kind*, double> in_time_;
+  std::map<const RequestKind*, double> requested_;
+  std::map<const RequestKind*, double> in_time_;
   double carried_ = 0;
 };
 
-// The mean of several plays.
-Outcome PlayAll(bool inquires, int moves_if_full) {
+// Returns the mean over several seeds.
+Outcome MeanOfSimulations(bool inquires, int moves_if_full) {
   constexpr int kSeeds = 6;
   Outcome mean;
   for (int seed = 1; seed <= kSeeds; ++seed) {
-    const Outcome one = Play(inquires, moves_if_full, seed).Run();
+    const Outcome one = Simulation(inquires, moves_if_full, seed).Run();
     mean.uploads_in_time += one.uploads_in_time / kSeeds;
     mean.lookups_in_time += one.lookups_in_time / kSeeds;
     mean.bytes += one.bytes / kSeeds;
@@ -208,28 +213,28 @@
   return mean;
 }
 
-TEST_CASE("uploads and lookups in a rush behind narrow links") {
+TEST_CASE("uploads and lookups in an overload behind narrow links") {
   const int moves = calls::kUsualMoves.if_full;
-  const Outcome sent = PlayAll(false, moves);
-  const Outcome asked = PlayAll(true, moves);
+  const Outcome sent = MeanOfSimulations(false, moves);
+  const Outcome inquired = MeanOfSimulations(true, moves);
   INFO("sent at once: lookups " << sent.lookups_in_time << ", bytes "
                                 << sent.bytes);
-  INFO("asked first: lookups " << asked.lookups_in_time << ", bytes "
-                               << asked.bytes);
+  INFO("asked first: lookups " << inquired.lookups_in_time << ", bytes "
+                               << inquired.bytes);
 
-  SECTION("a body goes to one gate if that is asked for a place first") {
+  SECTION("a capacity inquiry first: a body is sent to one gate only") {
     CHECK(sent.bytes > 1.25 * kUpload.bytes);
-    CHECK(asked.bytes <= 1.05 * kUpload.bytes);
+    CHECK(inquired.bytes <= 1.05 * kUpload.bytes);
   }
-  SECTION("which leaves the links to what other servers wait for") {
-    CHECK(asked.lookups_in_time > sent.lookups_in_time + 0.03);
-    CHECK(asked.uploads_in_time > sent.uploads_in_time - 0.02);
+  SECTION("and more lookups are answered in time") {
+    CHECK(inquired.lookups_in_time > sent.lookups_in_time + 0.03);
+    CHECK(inquired.uploads_in_time > sent.uploads_in_time - 0.02);
   }
-  SECTION("requests that move on more often while all are full come too late") {
-    const Outcome often = PlayAll(true, 3);
+  SECTION("more moves while all servers are full: more requests are late") {
+    const Outcome often = MeanOfSimulations(true, 3);
     INFO("three moves: lookups " << often.lookups_in_time);
-    CHECK(asked.lookups_in_time > often.lookups_in_time + 0.02);
-    CHECK(asked.uploads_in_time > often.uploads_in_time - 0.02);
+    CHECK(inquired.lookups_in_time > often.lookups_in_time + 0.02);
+    CHECK(inquired.uploads_in_time > often.uploads_in_time - 0.02);
   }
 }
 
--- a/tests/auto/admission/cold_fleet_test.cc
+++ b/tests/auto/admission/cold_fleet_test.cc
@@ -1,9 +1,8 @@
-// Plays the seconds after all VMs of a service lost power together, and counts
-// how often requests are handed from gate to gate.
-//
-// Every server is cold then, twice as slow as usual, and none is a better
-// choice than another. Each node has just started and asks gates whose servers
-// said nothing yet, or not lately. Times are virtual, random numbers seeded.
+// Guards against requests that are passed from gate to gate after all VMs of a
+// service lost power together: every server is then cold and twice as slow as
+// usual, and no server is a better choice. Each node has just started and
+// contacts gates whose servers have sent no report, or no recent one. Time is
+// virtual and the random numbers are seeded.
 #include <catch2/catch.hpp>
 #include <random>
 #include <vector>
@@ -22,36 +21,36 @@
 constexpr Instant kStart = Instant(std::chrono::hours(1));
 constexpr int kServers = 60;
 constexpr int kRequests = 4000;
-constexpr double kCold = 2;
+constexpr double kColdSlowness = 2;
 constexpr milliseconds kBetweenRequests(1);
-constexpr milliseconds kMove(3);
-// Of the exchanges between nodes, those that bring no word of the server: its
-// queue was full, or the gate did not know it yet.
-constexpr double kWithoutWord = 0.3;
+constexpr milliseconds kMoveDelay(3);
+// Share of the exchanges between nodes without a report on the server, because
+// its queue was full or the gate had none yet.
+constexpr double kWithoutReport = 0.3;
 
 class ColdFleet {
  public:
   ColdFleet() : gates_(kServers), nodes_(kServers) {}
 
-  // Moves for each request.
-  double Play() {
+  // Returns the mean number of moves per request.
+  double MovesPerRequest() {
     for (int i = 0; i < kRequests; ++i)
-      Serve(Any(nodes_), kStart + i * kBetweenRequests);
+      PlaceRequest(PickRandom(nodes_), kStart + i * kBetweenRequests);
     return static_cast<double>(moves_) / kRequests;
   }
 
  private:
   template <typename T>
-  T& Any(std::vector<T>& from) {
+  T& PickRandom(std::vector<T>& from) {
     return from[std::uniform_int_distribution<size_t>(0,
                                                       kServers - 1)(random_)];
   }
 
-  void Serve(routing::RecentStrain& node, Instant now) {
-    for (int move = 0;; ++move, now += kMove) {
-      ServerPerformance& gate = Any(gates_);
-      if (!std::bernoulli_distribution(kWithoutWord)(random_))
-        gate.OnSlowness(kCold, now);
+  void PlaceRequest(routing::RecentStrain& node, Instant now) {
+    for (int move = 0;; ++move, now += kMoveDelay) {
+      ServerPerformance& gate = PickRandom(gates_);
+      if (!std::bernoulli_distribution(kWithoutReport)(random_))
+        gate.OnSlowness(kColdSlowness, now);
       const bool is_poor = gate.IsDegraded(now, node.usual());
       if (const auto strain = gate.KnownStrain(now))
         node.OnReport(*strain);
@@ -63,14 +62,16 @@
 
   base::Random random_{20261203};
   std::vector<ServerPerformance> gates_;
-  std::vector<routing::RecentStrain> nodes_;  // What each node takes for usual.
+  std::vector<routing::RecentStrain> nodes_;  // Usual strain seen by each node.
   int moves_ = 0;
 };
 
-// 0.12 moves a request if a word that is not there counts as a good one, 0.015
-// if it does not: the first request of each node.
-TEST_CASE("after a start of all servers no request looks for a warm one") {
-  CHECK(ColdFleet().Play() < 0.05);
+// A missing report treated as a good one gives 0.12 moves per request.
+// Otherwise it is 0.015: the first request of each node.
+TEST_CASE(
+    "after a start of all servers requests are not moved in search of a warm "
+    "one") {
+  CHECK(ColdFleet().MovesPerRequest() < 0.05);
 }
 
 }  // namespace
--- a/tests/auto/admission/cold_limit_test.cc
+++ b/tests/auto/admission/cold_limit_test.cc
@@ -1,5 +1,5 @@
-// A cold server ends when it gets many more requests in a second than it
-// tolerates. The gate counts all that it is handed, from whatever node.
+// Guards against a cold server that crashes because it gets many more requests
+// in a second than it tolerates. The gate counts the requests from all nodes.
 #include <rapidcheck.h>
 
 #include <rapidcheck/catch.h>
@@ -28,8 +28,8 @@
 constexpr milliseconds kTick(10);
 constexpr milliseconds kWork(65);
 
-// The most of `starts` that lie in any one second.
-size_t MostInASecond(const std::vector<Instant>& starts) {
+// Returns the largest number of `starts` within any one second.
+size_t MaxStartsPerSecond(const std::vector<Instant>& starts) {
   size_t most = 0;
   for (auto first = starts.begin(); first != starts.end(); ++first) {
     const auto end = std::ranges::lower_bound(starts, *first + seconds(1));
@@ -46,28 +46,29 @@
   return options;
 }
 
-// All nodes send to one server, many times what it tolerates.
-class Rush {
+// All nodes together send one server many times the load that it tolerates.
+class OverloadSimulation {
  public:
-  explicit Rush(const AdmissionOptions& options) : admission(options) {}
+  explicit OverloadSimulation(const AdmissionOptions& options)
+      : admission(options) {}
 
-  // Requests at `each`, until `end`.
-  void Play(Instant begin, Instant end, Duration each) {
+  // Sends a request every `each` until `end`.
+  void Run(Instant begin, Instant end, Duration each) {
     Instant next_tick = begin;
     for (Instant now = begin; now < end; now += each) {
       for (; next_tick <= now; next_tick += kTick) {
         FinishUntil(next_tick);
-        Take(admission.Tick(next_tick), next_tick);
+        Apply(admission.Tick(next_tick), next_tick);
       }
       FinishUntil(now);
       const Arrival arrival{{1, ++last_}, "", "", now + seconds(1), {}};
-      Take(admission.Arrive(arrival, now), now);
+      Apply(admission.Arrive(arrival, now), now);
     }
   }
 
   AdmissionController admission;
   std::vector<Instant> starts;
-  std::vector<Duration> told;  // When those that were refused may come back.
+  std::vector<Duration> retry_delays;  // Retry-After of refused requests.
 
  private:
   struct Running {
@@ -79,79 +80,79 @@
     while (!running_.empty() && running_.front().end <= now) {
       const Running ended = running_.front();
       running_.erase(running_.begin());
-      Take(admission.Finish(ended.id, ended.end), ended.end);
+      Apply(admission.Finish(ended.id, ended.end), ended.end);
     }
   }
 
-  void Take(const AdmissionActions& actions, Instant now) {
+  void Apply(const AdmissionActions& actions, Instant now) {
     for (const AdmissionAction& action : actions) {
       if (action.kind == ActionKind::kStart) {
         starts.push_back(now);
         running_.push_back({action.attempt, now + kWork});
       } else {
-        told.push_back(action.retry_after);
+        retry_delays.push_back(action.retry_after);
       }
     }
   }
 
-  std::vector<Running> running_;  // By their ends.
+  std::vector<Running> running_;  // Sorted by end.
   uint64_t last_ = 0;
 };
 
-TEST_CASE("a server that has just started gets what it tolerates") {
-  Rush rush(ColdServer());
-  rush.admission.OnServerStarted(kStart);
-  rush.Play(kStart, kStart + seconds(3), milliseconds(2));
-  CHECK(MostInASecond(rush.starts) <= 32);
-  // Nor does it get less: what it tolerates is all that there is.
-  CHECK(rush.starts.size() >= 3 * 24);
+TEST_CASE("a started server gets the rate it tolerates") {
+  OverloadSimulation simulation(ColdServer());
+  simulation.admission.OnServerStarted(kStart);
+  simulation.Run(kStart, kStart + seconds(3), milliseconds(2));
+  CHECK(MaxStartsPerSecond(simulation.starts) <= 32);
+  // The tolerated rate is also used in full.
+  CHECK(simulation.starts.size() >= 3 * 24);
 
-  SECTION("those that are refused are told when a place is free") {
-    REQUIRE_FALSE(rush.told.empty());
-    CHECK(std::ranges::max(rush.told) <= seconds(2));
+  SECTION("refused requests get a usable Retry-After") {
+    REQUIRE_FALSE(simulation.retry_delays.empty());
+    CHECK(std::ranges::max(simulation.retry_delays) <= seconds(2));
   }
-  SECTION("and once it is warm it gets all that its slots serve") {
-    rush.starts.clear();
-    rush.Play(kStart + seconds(3), kStart + seconds(4), milliseconds(2));
-    CHECK(rush.starts.size() > 90);
+  SECTION("a warm server gets all that its slots can serve") {
+    simulation.starts.clear();
+    simulation.Run(kStart + seconds(3), kStart + seconds(4), milliseconds(2));
+    CHECK(simulation.starts.size() > 90);
   }
 }
 
-TEST_CASE("the server's own word counts, not its start") {
+TEST_CASE("the server's report overrides the assumption after its start") {
   AdmissionController admission(ColdServer());
   admission.OnServerStarted(kStart);
   ColdStartLimiter& cold = admission.cold_limiter();
 
-  SECTION("it is warm at once") {
+  SECTION("it reports that it is warm") {
     cold.OnReported({}, kStart);
     CHECK_FALSE(cold.IsCold(kStart));
   }
-  SECTION("it stays cold for longer") {
+  SECTION("it reports that it stays cold for longer") {
     cold.OnReported(seconds(5), kStart + seconds(1));
     CHECK(cold.IsCold(kStart + seconds(5)));
     CHECK_FALSE(cold.IsCold(kStart + seconds(6)));
   }
-  SECTION("a late word changes nothing") {
+  SECTION("an outdated report is ignored") {
     cold.OnReported({}, kStart + seconds(1));
     cold.OnReported(seconds(3), kStart);
     CHECK_FALSE(cold.IsCold(kStart + seconds(1)));
   }
 }
 
-TEST_CASE("a health check that finds no sign of it ends what was only likely") {
+TEST_CASE("a health check without a cold report ends an assumed cold state") {
   ColdStartLimiter cold(kCold);
   cold.OnServerStarted(kStart);
 
-  SECTION("after a start, or beside a node that started") {
+  SECTION("after a start of the server or of the node") {
     cold.OnHealthyWithoutReport(kStart + milliseconds(5));
     CHECK_FALSE(cold.IsCold(kStart + milliseconds(5)));
   }
-  SECTION("but not what the server said itself") {
+  SECTION("but not a reported one") {
     cold.OnReported(seconds(3), kStart);
     cold.OnHealthyWithoutReport(kStart + milliseconds(5));
     CHECK(cold.IsCold(kStart + milliseconds(5)));
   }
-  SECTION("nor that of a server in doubt that had said so") {
+  SECTION("nor a reported one that is assumed again") {
     cold.OnReported(seconds(3), kStart);
     cold.AssumeCold(kStart + seconds(1));
     cold.OnHealthyWithoutReport(kStart + seconds(1));
@@ -159,24 +160,24 @@
   }
 }
 
-TEST_CASE("a warm server becomes cold while it is busy") {
-  Rush rush(ColdServer());
-  rush.Play(kStart, kStart + seconds(2), milliseconds(2));
+TEST_CASE("a warm server becomes cold under load") {
+  OverloadSimulation simulation(ColdServer());
+  simulation.Run(kStart, kStart + seconds(2), milliseconds(2));
   const Instant cold_at = kStart + seconds(2);
-  rush.admission.cold_limiter().OnReported(seconds(3), cold_at);
-  rush.starts.clear();
-  rush.Play(cold_at, cold_at + seconds(3), milliseconds(2));
-  CHECK(MostInASecond(rush.starts) <= 32);
+  simulation.admission.cold_limiter().OnReported(seconds(3), cold_at);
+  simulation.starts.clear();
+  simulation.Run(cold_at, cold_at + seconds(3), milliseconds(2));
+  CHECK(MaxStartsPerSecond(simulation.starts) <= 32);
 
-  SECTION("the first second's share went to what started before") {
-    const auto early = std::ranges::count_if(rush.starts, [&](Instant at) {
-      return at < cold_at + milliseconds(500);
-    });
+  SECTION("requests before the report use up the first second's tokens") {
+    const auto early = std::ranges::count_if(
+        simulation.starts,
+        [&](Instant at) { return at < cold_at + milliseconds(500); });
     CHECK(early == 0);
   }
 }
 
-TEST_CASE("a server in doubt is taken for cold until it says that it is not") {
+TEST_CASE("a server is assumed cold until it reports otherwise") {
   ColdStartLimiter cold(kCold);
   CHECK_FALSE(cold.IsCold(kStart));
   cold.AssumeCold(kStart);
@@ -193,25 +194,25 @@
   CHECK_FALSE(admission.HasCapacity(kStart));
 }
 
-// Twice what the server tolerates; a fifth of it is urgent, and comes between
-// the others. Each is late after its target, and may wait until then.
-TEST_CASE("the few places of a cold server go to what is most urgent") {
+// Twice the load that the server tolerates; a fifth of the requests are urgent
+// and arrive between the others. Each request may wait until its target.
+TEST_CASE("the capacity of a cold server goes to the most urgent requests") {
   AdmissionOptions options = ColdServer();
   options.shares.classes = {{"urgent", 0}, {"usual", 1}, {"other", 2}};
   AdmissionController admission(options);
   admission.OnServerStarted(kStart);
-  struct Figures {
-    int asked = 0;
+  struct Counts {
+    int requested = 0;
     int started = 0;
   };
-  std::map<std::string, Figures> figures;
+  std::map<std::string, Counts> counts;
   std::map<uint64_t, std::string> class_of;
   std::deque<std::pair<Instant, base::AttemptId>> running;
   const auto take = [&](const AdmissionActions& actions, Instant now) {
     for (const AdmissionAction& action : actions) {
       if (action.kind != ActionKind::kStart)
         continue;
-      ++figures[class_of[action.attempt.sequence]].started;
+      ++counts[class_of[action.attempt.sequence]].started;
       running.emplace_back(now + kWork, action.attempt);
     }
   };
@@ -229,30 +230,31 @@
                        : last % 4 == 0 ? "usual"
                                        : "other";
     class_of[last] = name;
-    ++figures[name].asked;
+    ++counts[name].requested;
     const Arrival arrival{
         {1, last}, "", name, now + seconds(1), now + milliseconds(200)};
     take(admission.Arrive(arrival, now), now);
   }
-  INFO("usual " << figures["usual"].started << " of " << figures["usual"].asked
-                << ", other " << figures["other"].started << " of "
-                << figures["other"].asked);
-  CHECK(figures["urgent"].started == figures["urgent"].asked);
-  // Of some 80 places the urgent leave 50, and 60 are asked for.
-  CHECK(figures["usual"].started * 3 >= figures["usual"].asked * 2);
-  CHECK(figures["other"].started * 4 <= figures["usual"].started);
+  INFO("usual " << counts["usual"].started << " of "
+                << counts["usual"].requested << ", other "
+                << counts["other"].started << " of "
+                << counts["other"].requested);
+  CHECK(counts["urgent"].started == counts["urgent"].requested);
+  // Of about 80 starts, the urgent requests leave 50; 60 are requested.
+  CHECK(counts["usual"].started * 3 >= counts["usual"].requested * 2);
+  CHECK(counts["other"].started * 4 <= counts["usual"].started);
 }
 
-TEST_CASE("a service that declares no rate is not held back") {
+TEST_CASE("a service without a declared rate is not limited") {
   AdmissionOptions options = ColdServer();
   options.cold.rate = 0;
-  Rush rush(options);
-  rush.admission.OnServerStarted(kStart);
-  rush.Play(kStart, kStart + seconds(1), milliseconds(2));
-  CHECK(rush.starts.size() > 90);
+  OverloadSimulation simulation(options);
+  simulation.admission.OnServerStarted(kStart);
+  simulation.Run(kStart, kStart + seconds(1), milliseconds(2));
+  CHECK(simulation.starts.size() > 90);
 }
 
-TEST_CASE("whatever comes when, no second holds more than was declared") {
+TEST_CASE("for any arrivals, no second exceeds the declared limits") {
   rc::prop("a bound on any second, as the server counts", [] {
     const auto rate = *rc::gen::inRange(5, 100);
     const auto burst = *rc::gen::inRange(3, 30);
@@ -268,7 +270,7 @@
     Instant now = kStart;
     std::vector<Instant> arrivals;
     uint64_t last = 0;
-    // A busy VM hands over late what was decided early.
+    // A busy VM delays requests between the decision and the server.
     const auto delays =
         *rc::gen::container<std::vector<int>>(17, rc::gen::inRange(0, 100));
     for (const int gap : gaps) {
@@ -284,8 +286,9 @@
       }
     }
     std::ranges::sort(arrivals);
-    // One more is the health check that finds the server.
-    RC_ASSERT(MostInASecond(arrivals) + 1 <= static_cast<size_t>(rate + burst));
+    // Plus the health check that discovers the server.
+    RC_ASSERT(MaxStartsPerSecond(arrivals) + 1 <=
+              static_cast<size_t>(rate + burst));
   });
 }
 
--- a/tests/auto/admission/concurrency_limit_test.cc
+++ b/tests/auto/admission/concurrency_limit_test.cc
@@ -1,4 +1,5 @@
-// How many requests a server is given when something takes its capacity.
+// Guards against a concurrency limit that does not follow the capacity of the
+// server: requests then queue inside the server, or slots stay unused.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <queue>
@@ -19,30 +20,30 @@
 constexpr int kSlots = 12;
 constexpr double kServiceSeconds = 0.01;
 
-// A server under more load than it carries. It runs `usable` requests at a
-// time, the others wait inside it.
-class BusyServer {
+// A server with more load than it can serve. It runs `usable` requests
+// concurrently; the others queue inside it.
+class OverloadedServer {
  public:
   void Run(ConcurrencyLimit& limit, Duration time) {
     const Instant end = now_ + time;
     while (now_ < end) {
-      while (given_ < limit.Limit(now_)) {
-        ++given_;
-        inside_.push(now_);
+      while (in_flight_ < limit.Limit(now_)) {
+        ++in_flight_;
+        queued_inside_.push(now_);
       }
-      while (!inside_.empty() && static_cast<int>(ends_.size()) < usable)
+      while (!queued_inside_.empty() && static_cast<int>(ends_.size()) < usable)
         StartOne();
       const auto [end_at, given_at] = ends_.top();
       ends_.pop();
       now_ = end_at;
-      --given_;
+      --in_flight_;
       ++served;
       limit.OnServed(given_at, now_ - given_at, true, now_);
       limit_sum += limit.Limit(now_);
     }
   }
 
-  // Over `time`, trials included.
+  // Returns the mean limit over `time`, including trials.
   double MeanLimit(ConcurrencyLimit& limit, Duration time) {
     const int served_before = served;
     limit_sum = 0;
@@ -63,24 +64,24 @@
   void StartOne() {
     const Seconds time(lognormal_(random_) * slowness * kServiceSeconds);
     ends_.emplace(now_ + std::chrono::duration_cast<Duration>(time),
-                  inside_.front());
-    inside_.pop();
+                  queued_inside_.front());
+    queued_inside_.pop();
   }
 
   Instant now_{std::chrono::hours(1)};
-  int given_ = 0;
-  std::queue<Instant> inside_;
+  int in_flight_ = 0;
+  std::queue<Instant> queued_inside_;
   std::priority_queue<End, std::vector<End>, std::greater<>> ends_;
   base::Random random_{3};
   std::lognormal_distribution<double> lognormal_{0, 0.5};
 };
 
-TEST_CASE("the limit follows what the server can use") {
+TEST_CASE("the limit follows the capacity of the server") {
   ConcurrencyLimit limit(kSlots);
-  BusyServer server;
+  OverloadedServer server;
   CHECK(server.MeanLimit(limit, seconds(20)) >= 11);
 
-  SECTION("nothing is taken away while service times are usual") {
+  SECTION("the limit does not fall while service times are normal") {
     int least = kSlots;
     for (int i = 0; i < 3000; ++i) {
       server.Run(limit, milliseconds(20));
@@ -89,7 +90,7 @@
     CHECK(least == kSlots);
   }
 
-  SECTION("it falls when a neighbour takes half the slots, and comes back") {
+  SECTION("it falls when a neighbour takes half the slots, and recovers") {
     server.usable = kSlots / 2;
     server.Run(limit, seconds(1));
     CHECK(server.MeanLimit(limit, seconds(10)) <= 8);
@@ -99,7 +100,7 @@
     CHECK(server.MeanLimit(limit, seconds(10)) >= 11);
   }
 
-  SECTION("no throughput is given away when all slots are slower") {
+  SECTION("throughput is kept when all slots are slower") {
     server.slowness = 3;
     server.Run(limit, seconds(5));
     const int before = server.served;
@@ -108,7 +109,7 @@
     CHECK(server.served - before >= 0.9 * capacity);
   }
 
-  SECTION("a server that sheds is given less, and more again when idle") {
+  SECTION("shedding lowers the limit, idle time raises it again") {
     limit.OnShed(4, server.now());
     CHECK(limit.Limit(server.now()) == 3);
     Instant now = server.now();
@@ -120,7 +121,7 @@
   }
 }
 
-TEST_CASE("a server that just started is warmed up") {
+TEST_CASE("the limit rises during the warm-up") {
   const Instant start{std::chrono::hours(1)};
   ConcurrencyLimit limit(kSlots);
   limit.set_warm_up_time(seconds(10));
@@ -129,7 +130,7 @@
   CHECK(limit.Limit(start + seconds(5)) == 7);
   CHECK(limit.Limit(start + seconds(10)) == kSlots);
 
-  SECTION("with fewer slots it gets at least one") {
+  SECTION("the limit is at least one") {
     limit.SetSlots(0);
     CHECK(limit.Limit(start) == 1);
   }
--- a/tests/auto/admission/fair_queue_test.cc
+++ b/tests/auto/admission/fair_queue_test.cc
@@ -1,4 +1,5 @@
-// Who goes first when several wait.
+// The order in which queued attempts run: shares of tenants, urgency of
+// classes, and deadlines.
 #include <catch2/catch.hpp>
 #include <map>
 #include <string>
@@ -13,9 +14,9 @@
 
 constexpr Instant kStart{std::chrono::hours(1)};
 
-class Waiting {
+class QueueHarness {
  public:
-  explicit Waiting(const TrafficShares& shares) : queue_(shares) {}
+  explicit QueueHarness(const TrafficShares& shares) : queue_(shares) {}
 
   void Add(const std::string& traffic_class,
            const std::string& tenant,
@@ -49,85 +50,85 @@
 };
 
 TEST_CASE("tenants share a server by their weights") {
-  Waiting waiting({{}, {{"firm-a", 3}, {"firm-b", 1}}});
-  waiting.Add("", "firm-a", 100, 400);
-  waiting.Add("", "firm-b", 100, 400);
-  waiting.Add("", "other", 100, 400);
+  QueueHarness harness({{}, {{"firm-a", 3}, {"firm-b", 1}}});
+  harness.Add("", "firm-a", 100, 400);
+  harness.Add("", "firm-b", 100, 400);
+  harness.Add("", "other", 100, 400);
 
   SECTION("each gets its share while all wait") {
-    auto counts = waiting.Next(500);
+    auto counts = harness.Next(500);
     CHECK(counts["firm-a"] == Approx(300).margin(3));
     CHECK(counts["firm-b"] == Approx(100).margin(3));
     CHECK(counts["other"] == Approx(100).margin(3));
   }
 
-  SECTION("a tenant with dear requests gets fewer of them") {
+  SECTION("a tenant with expensive requests gets fewer of them") {
     for (int i = 0; i < 200; ++i) {
-      waiting.queue().OnServed(waiting.queue().FlowFor("", "firm-b"),
+      harness.queue().OnServed(harness.queue().FlowFor("", "firm-b"),
                                milliseconds(10));
-      waiting.queue().OnServed(waiting.queue().FlowFor("", "other"),
+      harness.queue().OnServed(harness.queue().FlowFor("", "other"),
                                milliseconds(40));
     }
-    auto counts = waiting.Next(300);
+    auto counts = harness.Next(300);
     CHECK(counts["firm-b"] == Approx(4 * counts["other"]).margin(5));
   }
 
-  SECTION("a share that changes takes effect for those that wait") {
-    waiting.queue().SetShares({{}, {{"firm-b", 3}}});
-    auto counts = waiting.Next(500);
+  SECTION("a changed share applies to queued attempts") {
+    harness.queue().SetShares({{}, {{"firm-b", 3}}});
+    auto counts = harness.Next(500);
     CHECK(counts["firm-b"] == Approx(300).margin(3));
   }
 
-  SECTION("the one that has most for its share is pushed out first") {
-    waiting.Add("", "firm-b", 900);
-    const auto last = waiting.queue().PopMostOverShare();
+  SECTION("the flow furthest over its share is evicted first") {
+    harness.Add("", "firm-b", 900);
+    const auto last = harness.queue().PopMostOverShare();
     CHECK(last->deadline == kStart + milliseconds(900));
   }
 
-  SECTION("nothing is held back once only one is left") {
-    waiting.Next(1199);
-    CHECK(waiting.queue().size() == 1);
-    CHECK_FALSE(waiting.Next().empty());
-    CHECK(waiting.Next().empty());
+  SECTION("the queue is work-conserving") {
+    harness.Next(1199);
+    CHECK(harness.queue().size() == 1);
+    CHECK_FALSE(harness.Next().empty());
+    CHECK(harness.Next().empty());
   }
 }
 
-TEST_CASE("urgent classes go first, and the last one does not starve") {
-  Waiting waiting({{{"bulk", 9}, {"flood-watch", 1}}, {}});
-  waiting.Add("bulk", "x", 100, 300);
-  waiting.Next(100);
+TEST_CASE("urgent classes go first, without starvation") {
+  QueueHarness harness({{{"bulk", 9}, {"flood-watch", 1}}, {}});
+  harness.Add("bulk", "x", 100, 300);
+  harness.Next(100);
 
-  SECTION("an urgent request overtakes all that wait") {
-    waiting.Add("flood-watch", "y", 5000);
-    CHECK(waiting.Next() == "flood-watchy");
+  SECTION("an urgent request overtakes all queued ones") {
+    harness.Add("flood-watch", "y", 5000);
+    CHECK(harness.Next() == "flood-watchy");
   }
 
-  SECTION("under a flood of urgent ones the others still move") {
-    waiting.Add("flood-watch", "y", 100, 300);
-    auto counts = waiting.Next(180);
+  SECTION("the others still run during many urgent ones") {
+    harness.Add("flood-watch", "y", 100, 300);
+    auto counts = harness.Next(180);
     CHECK(counts["bulkx"] == Approx(20).margin(2));
   }
 
   SECTION("a request without a class counts as the least urgent") {
-    waiting.Add("", "z", 5000);
-    CHECK(waiting.Next() != "flood-watchy");
+    harness.Add("", "z", 5000);
+    CHECK(harness.Next() != "flood-watchy");
   }
 }
 
 TEST_CASE("within a flow the earliest deadline goes first") {
-  Waiting waiting({});
+  QueueHarness harness({});
   for (const int deadline : {300, 100, 200})
-    waiting.Add("", "a", deadline);
-  CHECK_FALSE(waiting.queue().PopExpired(kStart));
-  CHECK(waiting.queue().PopExpired(kStart + milliseconds(100)));
-  CHECK(waiting.queue().Pop()->deadline == kStart + milliseconds(200));
+    harness.Add("", "a", deadline);
+  CHECK_FALSE(harness.queue().PopExpired(kStart));
+  CHECK(harness.queue().PopExpired(kStart + milliseconds(100)));
+  CHECK(harness.queue().Pop()->deadline == kStart + milliseconds(200));
 }
 
-TEST_CASE("invented tenants cannot grow memory") {
-  Waiting waiting({});
+TEST_CASE("made-up tenant names do not exhaust memory") {
+  QueueHarness harness({});
   for (int i = 0; i < 10000; ++i)
-    waiting.queue().FlowFor("", "tenant" + std::to_string(i));
-  CHECK(waiting.queue().flows() <= 257);
+    harness.queue().FlowFor("", "tenant" + std::to_string(i));
+  CHECK(harness.queue().flows() <= 257);
 }
 
 }  // namespace
--- a/tests/auto/admission/gate_quarantine_test.cc
+++ b/tests/auto/admission/gate_quarantine_test.cc
@@ -1,4 +1,5 @@
-// A gate whose server ends with what it runs, and one that knows verdicts.
+// A gate whose server crashes while it runs requests, and a gate with
+// quarantine verdicts.
 #include <catch2/catch.hpp>
 
 #include "support/gate_fixture.h"
@@ -25,7 +26,7 @@
   return verdicts;
 }
 
-TEST_CASE("a server breaks off what it runs") {
+TEST_CASE("a server interrupts the requests it runs") {
   GateFixture fixture;
   fixture.state.health_path = "/health";
   fixture.state.admission.slots = 4;
@@ -34,11 +35,13 @@
   fixture.is_silent = true;
   fixture.BeginGuarded({kOther});
   fixture.BeginGuarded({kSuspect, true});
-  // Probes come to the server as well.
+  // The server gets probes as well.
   REQUIRE(
       fixture.RunUntil([&] { return fixture.pending_replies.size() >= 2; }));
 
-  SECTION("as it ends: what it ran is told, and the callers' nodes") {
+  SECTION(
+      "by a crash: the running requests are reported, and the callers' nodes "
+      "get errors") {
     fixture.EndServer();
     REQUIRE(fixture.RunUntil([&] { return !fixture.crashes.empty(); }));
     REQUIRE(fixture.crashes.size() == 1);
@@ -53,12 +56,12 @@
     CHECK(Outcome(fixture.results[1]) == "unknown");
   }
 
-  SECTION("though it goes on: that is no end") {
+  SECTION("but goes on: that is no crash") {
     fixture.is_silent = false;
     fixture.pending_replies.clear();
     REQUIRE(fixture.RunUntil([&] { return fixture.results.size() == 2; }));
     CHECK(Outcome(fixture.Run("GET")) == "answered");
-    SECTION("also when it ends later, with nothing to do") {
+    SECTION("also when it ends later without running requests") {
       fixture.EndServer();
       for (int i = 0; i < 3; ++i)
         CHECK(Error(fixture.Run("GET")) == "connect-failed");
@@ -67,7 +70,7 @@
   }
 }
 
-TEST_CASE("a server ends that got more than a cold one tolerates") {
+TEST_CASE("a server crashes after more requests than a cold one tolerates") {
   GateFixture fixture;
   fixture.state.health_path = "/health";
   fixture.state.admission.slots = 4;
@@ -85,8 +88,7 @@
     fixture.RunUntil([&] { return !fixture.crashes.empty(); });
   };
 
-  SECTION(
-      "as it turned cold meanwhile: that explains it, no request is blamed") {
+  SECTION("while it was cold: no request is blamed") {
     const base::Instant now = base::Clock::now();
     fixture.state.cold_told_at = now;
     fixture.state.cold_until = now + minutes(1);
@@ -94,18 +96,18 @@
     end();
     CHECK(fixture.crashes.empty());
   }
-  SECTION("while it was warm: what it ran is told") {
+  SECTION("while it was warm: the running requests are reported") {
     end();
     CHECK(fixture.crashes.size() == 1);
   }
 }
 
-TEST_CASE("a gate that knows verdicts on requests") {
+TEST_CASE("a gate with quarantine verdicts") {
   GateFixture fixture;
   fixture.state.admission.slots = 4;
   fixture.Apply();
 
-  SECTION("refuses what is in quarantine, and its place, unrun") {
+  SECTION("refuses quarantined requests and capacity inquiries for them") {
     fixture.SetVerdicts(SomeVerdicts());
     fixture.BeginGuarded({kHeld});
     REQUIRE(fixture.RunUntil([&] { return fixture.results.contains(1); }));
@@ -117,7 +119,7 @@
           traffic::kCapacityAvailable);
   }
 
-  SECTION("still gives the answer on record of a key, and runs no new one") {
+  SECTION("answers a known key from its record and runs no new request") {
     fixture.AcquireKeyOwnership();
     const auto first = fixture.BeginKeyed({kHeld}, "k");
     REQUIRE(fixture.RunUntil([&] { return fixture.results.size() == 1; }));
@@ -135,7 +137,7 @@
     CHECK(fixture.served.size() == 1);
   }
 
-  SECTION("tells that its server answered a suspect") {
+  SECTION("reports that its server answered a suspect") {
     fixture.SetVerdicts(SomeVerdicts());
     fixture.BeginGuarded({kSuspect});
     REQUIRE(fixture.RunUntil([&] { return fixture.results.contains(1); }));
@@ -152,13 +154,13 @@
     REQUIRE(fixture.RunUntil([&] { return fixture.results.contains(2); }));
     CHECK(Error(fixture.results[2]) == "request-suspected");
     CHECK(Outcome(fixture.results[2]) == "not-run");
-    SECTION("and others beside it") {
+    SECTION("beside other requests") {
       fixture.BeginGuarded({{9}});
       CHECK(fixture.RunUntil([&] { return fixture.served.size() == 2; }));
     }
   }
 
-  SECTION("stops what runs, and lets nothing start that waited") {
+  SECTION("stops running requests and refuses queued ones") {
     fixture.state.admission.slots = 1;
     fixture.Apply();
     fixture.is_silent = true;
--- a/tests/auto/admission/gate_test.cc
+++ b/tests/auto/admission/gate_test.cc
@@ -1,5 +1,4 @@
-// The gate of a node, between another node and a server that behaves as the
-// test wants.
+// A gate between a peer node and a fake server.
 #include <arpa/inet.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -23,7 +22,7 @@
   return base::SocketAddress::Parse("127.0.0.1:0").value();
 }
 
-// A listener whose queue of new connections is full: one more stays unopened.
+// A listener whose backlog is full: further connections are not accepted.
 class FullListener {
  public:
   FullListener() {
@@ -58,7 +57,7 @@
 TEST_CASE("a gate hands requests to its server") {
   GateFixture fixture;
 
-  SECTION("with the time that is left as a duration") {
+  SECTION("with the remaining time as a duration") {
     CHECK(Outcome(fixture.Run("GET")) == "answered");
     CHECK_FALSE(
         FindHeader(fixture.served[0].headers, wire::kDeadlineHeader).empty());
@@ -73,7 +72,7 @@
     CHECK(Outcome(result) == "answered");
   }
 
-  SECTION("a server fails by itself, or by a call that it made") {
+  SECTION("a failure of the server itself, or of a call that it made") {
     fixture.answer.status = 500;
     const bool is_calls_fault = GENERATE(false, true);
     fixture.on_request = [&] {
@@ -100,19 +99,19 @@
     CHECK(Error(result) == "server-shed");
   }
 
-  SECTION("an answer that is too large for the receiver is never whole") {
+  SECTION("an answer too large for the receiver is cut off") {
     fixture.answer.body.assign(9 * 1024 * 1024, 'x');
     CHECK(fixture.Run("POST").end == net::TransferEnd::kLost);
   }
 
-  SECTION("a server that is not there did not run it") {
+  SECTION("a request to an unreachable server did not run") {
     fixture.state.address.port = 1;
     fixture.Apply();
     CHECK(Error(fixture.Run("POST")) == "connect-failed");
     CHECK(fixture.Settle({1, 1}, true) == "never-runs");
   }
 
-  SECTION("one that leaves gets nothing new, and says when it is empty") {
+  SECTION("a draining server gets no new requests") {
     fixture.state.draining = true;
     fixture.Apply();
     CHECK(Error(fixture.Run("POST")) == "draining");
@@ -122,14 +121,14 @@
   }
 }
 
-TEST_CASE("a gate that is asked whether it has a place") {
+TEST_CASE("a capacity inquiry") {
   GateFixture fixture;
   fixture.is_silent = true;
   fixture.state.admission.slots = 1;
   fixture.state.admission.adaptive = false;
   fixture.Apply();
 
-  SECTION("says so while it has, and keeps nothing of it") {
+  SECTION("is answered positively, and not recorded") {
     CHECK(fixture.InquireCapacity().answer.status ==
           traffic::kCapacityAvailable);
     CHECK(fixture.InquireCapacity().answer.status ==
@@ -138,14 +137,14 @@
     CHECK(fixture.Settle({1, 1}, false) == "unknown-here");
   }
 
-  SECTION("whose server is full") {
+  SECTION("at a full server") {
     fixture.Begin("POST");
     REQUIRE(fixture.RunUntil([&] { return fixture.served.size() == 1; }));
 
-    SECTION("hands the question back") {
+    SECTION("is returned to the sender") {
       CHECK(Error(fixture.InquireCapacity()) == "server-slow");
     }
-    SECTION("refuses what would be late") {
+    SECTION("is refused if the request would be late") {
       fixture.inquiry_may_move = false;
       const auto refused = fixture.InquireCapacity();
       CHECK(Error(refused) == "overloaded");
@@ -153,14 +152,14 @@
     }
   }
 
-  SECTION("whose server leaves") {
+  SECTION("at a draining server") {
     fixture.state.draining = true;
     fixture.Apply();
     CHECK(Error(fixture.InquireCapacity()) == "draining");
   }
 }
 
-TEST_CASE("an attempt that waits for a connection to its server") {
+TEST_CASE("an attempt waiting for a connection to the server") {
   GateFixture fixture;
   const FullListener full;
   fixture.state.address = full.address();
@@ -170,13 +169,13 @@
   REQUIRE(fixture.RunUntil(
       [&] { return fixture.Settle(waiting, false) == "running"; }));
 
-  SECTION("never runs if it is cancelled, though it may not be cut off") {
+  SECTION("never runs if it is cancelled, even if it must not be interrupted") {
     CHECK(fixture.Settle(waiting, true, false) == "never-runs");
     REQUIRE(fixture.RunUntil([&] { return fixture.results.contains(1); }));
     CHECK(Error(fixture.results[1]) == "cancelled");
   }
 
-  SECTION("never runs if the other node goes away") {
+  SECTION("never runs if the sender disconnects") {
     fixture.DisconnectPeer(0);
     CHECK(fixture.RunUntil(
         [&] { return fixture.Settle(waiting, false) == "never-runs"; }));
@@ -194,7 +193,7 @@
   REQUIRE(fixture.RunUntil(
       [&] { return fixture.Settle(queued, false) == "queued"; }));
 
-  SECTION("can be asked about") {
+  SECTION("can be queried") {
     CHECK(fixture.Settle(running, false) == "running");
     CHECK(fixture.Settle({1, 99}, false) == "unknown-here");
   }
@@ -206,7 +205,7 @@
     CHECK(fixture.served.size() == 1);
   }
 
-  SECTION("is cut off at the server if it is cancelled while it runs") {
+  SECTION("is interrupted if it is cancelled while it runs") {
     CHECK(fixture.Settle(running, true) == "running");
     CHECK(fixture.RunUntil([&] { return fixture.closed_requests == 1; }));
     CHECK(Outcome(fixture.results[1]) == "unknown");
@@ -214,19 +213,22 @@
     CHECK(fixture.RunUntil([&] { return fixture.served.size() == 2; }));
   }
 
-  SECTION("leaves the queue when the other node goes away") {
+  SECTION("leaves the queue if the sender disconnects") {
     fixture.DisconnectPeer(1);
     CHECK(fixture.RunUntil(
         [&] { return fixture.Settle(queued, false) == "never-runs"; }));
   }
 
-  SECTION("is not cut off with the other node if it may change something") {
+  SECTION(
+      "is not interrupted if the sender disconnects and it may have side "
+      "effects") {
     fixture.DisconnectPeer(0);
     CHECK(fixture.Settle(running, false) == "running");
     CHECK(fixture.closed_requests == 0);
   }
 
-  SECTION("a drain refuses what waits and lets the other finish") {
+  SECTION(
+      "a drain refuses the queued attempt and lets the running one finish") {
     fixture.state.draining = true;
     fixture.Apply();
     REQUIRE(fixture.RunUntil([&] { return fixture.results.contains(2); }));
@@ -245,7 +247,7 @@
   CHECK(fixture.served[0].target == "/health");
   CHECK(fixture.report.probe_time <= milliseconds(50));
 
-  SECTION("and not at all without a budget") {
+  SECTION("and never without a budget") {
     GateFixture frugal;
     frugal.state.health_path = "/health";
     frugal.state.probes.budget = 0;
@@ -255,7 +257,7 @@
   }
 }
 
-TEST_CASE("a node that was stopped before it sent does not send late") {
+TEST_CASE("a node that was paused before sending does not send late") {
   net::EventLoop loop;
   int served = 0;
   auto server = net::HttpServer::Open(loop, AnyPort(), net::HttpServerLimits{},
--- a/tests/auto/admission/nested_call_test.cc
+++ b/tests/auto/admission/nested_call_test.cc
@@ -1,11 +1,11 @@
-// Plays requests that make a call to another service in a rush there, and
-// counts how many are served, with the decisions that the gates of that service
-// use.
+// Guards against requests that fail because a call they make meets an overload
+// at another service. Simulates the gates of that service with the admission
+// decisions of the product.
 //
-// The load: for some seconds the called service gets a tenth more than it can
-// serve, three quarters of it calls of 30 ms with a target of 120 ms, for which
-// requests of 500 ms wait that have half of their work behind them. All times
-// are virtual, and the random numbers are seeded.
+// For some seconds the called service gets a tenth more than its capacity.
+// Three quarters of it are calls of 30 ms with a target of 120 ms, made by
+// requests of 500 ms that have done half of their work. Time is virtual and the
+// random numbers are seeded.
 #include <catch2/catch.hpp>
 #include <functional>
 #include <map>
@@ -26,27 +26,28 @@
 constexpr Instant kStart = Instant(std::chrono::hours(1));
 constexpr Seconds kLength(20);
 constexpr int kSlots = 4;
-constexpr milliseconds kWork(30);          // Of a call, on the mean.
+constexpr milliseconds kWork(30);          // Mean service time of a call.
 constexpr milliseconds kOwnTarget(120);    // Of a call.
-constexpr milliseconds kOuterTarget(500);  // Of a request that makes one.
+constexpr milliseconds kOuterTarget(500);  // Of a request that makes a call.
 constexpr milliseconds kOuterDeadline(1200);
-constexpr milliseconds kOuterHalf(60);  // Of its work, before and after.
+constexpr milliseconds kOuterHalf(60);  // Its work before and after the call.
 constexpr milliseconds kOtherTarget(250);
 constexpr milliseconds kOtherWork(95);
 constexpr double kCallsPerSecond = 110;
 constexpr double kOthersPerSecond = 12;
 
 struct Outcome {
-  double in_time = 0;  // Shares of the requests that made a call.
+  double in_time = 0;  // Share of the requests that made a call.
   double failed = 0;
-  double others = 0;  // Of the others, the share in time.
+  double others = 0;  // Share of the other requests in time.
 };
 
-class Play {
+class Simulation {
  public:
-  explicit Play(bool is_nested) : is_nested_(is_nested), gate_(Options()) {
-    AskCall();
-    AskOther();
+  explicit Simulation(bool is_nested)
+      : is_nested_(is_nested), gate_(Options()) {
+    GenerateCall();
+    GenerateOther();
   }
 
   Outcome Run() {
@@ -59,7 +60,7 @@
   }
 
  private:
-  struct Asked {
+  struct Request {
     bool is_call = false;
     Instant began;
   };
@@ -86,7 +87,7 @@
   }
 
   // A request that has done half of its work makes its call.
-  void AskCall() {
+  void GenerateCall() {
     if (IsOver())
       return;
     calls_ += 1;
@@ -94,45 +95,45 @@
     const Duration target =
         is_nested_ ? calls::NestedTarget(kOwnTarget, left) : kOwnTarget;
     Arrive({true, now_ - kOuterHalf}, left, target);
-    After(Gap(kCallsPerSecond), [this] { AskCall(); });
+    After(Gap(kCallsPerSecond), [this] { GenerateCall(); });
   }
 
-  void AskOther() {
+  void GenerateOther() {
     if (IsOver())
       return;
     others_ += 1;
     Arrive({false, now_}, 6 * kOtherTarget, kOtherTarget);
-    After(Gap(kOthersPerSecond), [this] { AskOther(); });
+    After(Gap(kOthersPerSecond), [this] { GenerateOther(); });
   }
 
-  void Arrive(const Asked& asked, Duration remaining, Duration target) {
+  void Arrive(const Request& request, Duration remaining, Duration target) {
     const base::AttemptId id{1, ++last_};
-    asked_[id] = asked;
-    Perform(gate_.Arrive({id, "", asked.is_call ? "urgent" : "other",
+    requests_[id] = request;
+    Perform(gate_.Arrive({id, "", request.is_call ? "urgent" : "other",
                           now_ + remaining, now_ + target},
                          now_));
   }
 
   void Perform(const AdmissionActions& actions) {
     for (const AdmissionAction& action : actions) {
-      const Asked asked = asked_.extract(action.attempt).mapped();
+      const Request request = requests_.extract(action.attempt).mapped();
       if (action.kind == ActionKind::kRefuse) {
-        failed_ += asked.is_call ? 1 : 0;
+        failed_ += request.is_call ? 1 : 0;
         continue;
       }
-      const Duration work = asked.is_call ? kWork : kOtherWork;
-      After(work, [this, asked, id = action.attempt] {
-        OnServed(asked);
+      const Duration work = request.is_call ? kWork : kOtherWork;
+      After(work, [this, request, id = action.attempt] {
+        OnServed(request);
         Perform(gate_.Finish(id, now_));
       });
     }
   }
 
-  void OnServed(const Asked& asked) {
-    if (asked.is_call)
-      in_time_ += now_ + kOuterHalf - asked.began <= kOuterTarget ? 1 : 0;
+  void OnServed(const Request& request) {
+    if (request.is_call)
+      in_time_ += now_ + kOuterHalf - request.began <= kOuterTarget ? 1 : 0;
     else
-      others_in_time_ += now_ - asked.began <= kOtherTarget ? 1 : 0;
+      others_in_time_ += now_ - request.began <= kOtherTarget ? 1 : 0;
   }
 
   bool is_nested_;
@@ -141,7 +142,7 @@
   AdmissionController gate_;
   uint64_t last_ = 0;
   std::multimap<Instant, std::function<void()>> events_;
-  std::map<base::AttemptId, Asked> asked_;
+  std::map<base::AttemptId, Request> requests_;
   double calls_ = 0;
   double in_time_ = 0;
   double failed_ = 0;
@@ -149,16 +150,16 @@
   double others_in_time_ = 0;
 };
 
-TEST_CASE("requests whose call meets a rush at another service") {
-  const Outcome own = Play(false).Run();
-  const Outcome nested = Play(true).Run();
+TEST_CASE("requests whose call meets an overload at another service") {
+  const Outcome own = Simulation(false).Run();
+  const Outcome nested = Simulation(true).Run();
   INFO("own target: in time " << own.in_time << ", failed " << own.failed
                               << ", others in time " << own.others);
   INFO("nested target: in time " << nested.in_time << ", failed "
                                  << nested.failed << ", others in time "
                                  << nested.others);
 
-  SECTION("fail for it less often if the call may wait for half of the rest") {
+  SECTION("fail less often if the call may use half of the remaining time") {
     CHECK(nested.failed < own.failed / 2);
     CHECK(nested.in_time > own.in_time);
   }
--- a/tests/auto/admission/pace_placement_test.cc
+++ b/tests/auto/admission/pace_placement_test.cc
@@ -1,9 +1,10 @@
-// Plays requests on servers whose VMs turn slow in spells, and counts how many
-// were started on a slow one, with the decisions that the gates use.
+// Guards against requests that start on a server whose VM is slow at the
+// moment. Simulates gates with the probing and placement decisions of the
+// product.
 //
-// The load is that of the larger users' fleets: a third of the servers is slow
-// at a time, for some 300 ms, and then takes four times as long for whatever is
-// started. All times are virtual, and the random numbers are seeded.
+// A third of the servers is slow at any time, for about 300 ms, and then takes
+// four times as long for the requests it starts. Time is virtual and the random
+// numbers are seeded.
 #include <catch2/catch.hpp>
 #include <optional>
 #include <random>
@@ -27,22 +28,23 @@
 constexpr int kRequests = 20000;
 constexpr double kSlowShare = 0.35;
 constexpr double kSlow = 4;
-constexpr milliseconds kSpell(300);
+constexpr milliseconds kSlowPeriod(300);
 constexpr milliseconds kBetweenRequests(2);
-constexpr milliseconds kMove(3);   // There, back, and to the next gate.
-constexpr milliseconds kProbe(1);  // Until its answer is there.
+constexpr milliseconds kMoveDelay(3);  // To a gate, back, and to the next gate.
+constexpr milliseconds kProbeTime(1);  // Response time of a probe.
 
-// A server, whose VM is slow or not for each spell anew.
+// A server whose VM is slow or not in each period, at random.
 class Server {
  public:
   Server(const ProbeOptions& options, base::Random& random)
-      : phase_(std::uniform_int_distribution<int>(0, kSpell.count())(random)),
+      : phase_(
+            std::uniform_int_distribution<int>(0, kSlowPeriod.count())(random)),
         seed_(random()),
         probes(options, kStart - std::chrono::seconds(10)) {}
 
   double Slowness(Instant now) const {
-    const int64_t spell = (now - kStart + phase_) / kSpell;
-    base::Random random(seed_ + static_cast<uint64_t>(spell));
+    const int64_t period = (now - kStart + phase_) / kSlowPeriod;
+    base::Random random(seed_ + static_cast<uint64_t>(period));
     return std::bernoulli_distribution(kSlowShare)(random) ? kSlow : 1;
   }
 
@@ -55,30 +57,30 @@
   ServerPerformance pace;
 };
 
-struct Way {
+struct Strategy {
   ProbeOptions probes;
-  int most_moves = 0;
+  int max_moves = 0;
 };
 
 struct Outcome {
   double started_on_slow = 0;  // Share of the requests.
-  double probes = 0;           // For each request.
-  double moves = 0;            // The same.
+  double probes = 0;           // Per request.
+  double moves = 0;            // Per request.
 };
 
 class Fleet {
  public:
-  explicit Fleet(const Way& way) : way_(way) {
+  explicit Fleet(const Strategy& strategy) : strategy_(strategy) {
     for (int i = 0; i < kServers; ++i)
-      servers_.emplace_back(way.probes, random_);
+      servers_.emplace_back(strategy.probes, random_);
   }
 
-  Outcome Play() {
+  Outcome Run() {
     int slow = 0;
     for (int i = 0; i < kRequests; ++i) {
       const Instant now = kStart + i * kBetweenRequests;
       ProbeInBackground(now);
-      slow += Serve(now) > 1 ? 1 : 0;
+      slow += PlaceRequest(now) > 1 ? 1 : 0;
     }
     Outcome outcome{static_cast<double>(slow) / kRequests, 0,
                     static_cast<double>(moves_) / kRequests};
@@ -90,52 +92,52 @@
  private:
   void ProbeInBackground(Instant now) {
     for (Server& server : servers_) {
-      if (server.probes.Begin(now))
+      if (server.probes.StartIfDue(now))
         EndProbe(server, now);
     }
   }
 
   static void EndProbe(Server& server, Instant now) {
-    server.probes.End(kProbe, true, now);
+    server.probes.End(kProbeTime, true, now);
     server.pace.OnSlowness(server.Slowness(now), now);
   }
 
-  // How slow the server is on which the request is started at last.
-  double Serve(Instant now) {
-    for (int move = 0;; ++move, now += kMove) {
+  // Returns the slowness of the server on which the request is started.
+  double PlaceRequest(Instant now) {
+    for (int move = 0;; ++move, now += kMoveDelay) {
       Server& server = servers_[std::uniform_int_distribution<size_t>(
           0, kServers - 1)(random_)];
       if (server.probes.IsStale(now) && server.probes.StartOnDemand(now))
         EndProbe(server, now);
       const bool is_poor = server.pace.IsDegraded(now, usual_.usual());
       usual_.OnReport(server.pace.Slowness(now));
-      if (move >= way_.most_moves || !is_poor) {
+      if (move >= strategy_.max_moves || !is_poor) {
         moves_ += move;
         return server.Slowness(now);
       }
     }
   }
 
-  Way way_;
+  Strategy strategy_;
   base::Random random_{20261202};
   std::vector<Server> servers_;
   routing::RecentStrain usual_;
   int moves_ = 0;
 };
 
-TEST_CASE("requests on servers that turn slow in spells") {
-  const Outcome without = Fleet({{0.2, std::chrono::hours(1)}, 0}).Play();
+TEST_CASE("requests on servers with slow periods") {
+  const Outcome without = Fleet({{0.2, std::chrono::hours(1)}, 0}).Run();
   CHECK(without.started_on_slow > 0.3);
 
-  SECTION("probes at a steady pace leave four in a hundred on a slow server") {
-    const Outcome steady = Fleet({{0.2, milliseconds(40)}, 3}).Play();
+  SECTION("periodic probes: four in a hundred start on a slow server") {
+    const Outcome steady = Fleet({{0.2, milliseconds(40)}, 3}).Run();
     CHECK(steady.started_on_slow > 0.03);
     CHECK(steady.probes > 1);
 
-    SECTION("a probe before a start, and more moves, hardly any, for less") {
-      const Way way{{0.2, milliseconds(250), milliseconds(15)},
-                    calls::kUsualMoves.if_poor};
-      const Outcome looked = Fleet(way).Play();
+    SECTION("on-demand probes and more moves: hardly any, with fewer probes") {
+      const Strategy strategy{{0.2, milliseconds(250), milliseconds(15)},
+                              calls::kUsualMoves.if_poor};
+      const Outcome looked = Fleet(strategy).Run();
       CHECK(looked.started_on_slow < 0.01);
       CHECK(looked.started_on_slow < steady.started_on_slow / 5);
       CHECK(looked.moves < 1);
--- a/tests/auto/admission/server_watch_test.cc
+++ b/tests/auto/admission/server_watch_test.cc
@@ -1,4 +1,4 @@
-// Whether the server is there, and what it may cost to find out.
+// Liveness of the server, and the budget of probes.
 #include <rapidcheck/catch.h>
 
 #include <catch2/catch.hpp>
@@ -19,7 +19,7 @@
 
 constexpr Instant kStart{std::chrono::hours(1)};
 
-TEST_CASE("a server is there while it says so") {
+TEST_CASE("a server is alive while it announces itself") {
   ServerLiveness presence;
   CHECK_FALSE(presence.IsAlive(kStart));
   for (int i = 0; i < 20; ++i)
@@ -27,23 +27,23 @@
   const Instant last = kStart + seconds(19);
   CHECK(presence.IsAlive(last + milliseconds(3400)));
 
-  SECTION("and gone when three announcements are missing") {
+  SECTION("and not after three missing announcements") {
     CHECK_FALSE(presence.IsAlive(last + milliseconds(3600)));
   }
 
-  SECTION("unless it still answers") {
+  SECTION("unless it still answers requests") {
     presence.OnAnswer(last + seconds(3));
     CHECK(presence.IsAlive(last + seconds(6)));
     CHECK_FALSE(presence.IsAlive(last + seconds(7)));
   }
 
-  SECTION("and gone at once when it says that it leaves") {
+  SECTION("and not once it announced that it leaves") {
     presence.OnLeft();
     CHECK_FALSE(presence.IsAlive(last));
   }
 }
 
-TEST_CASE("a server is probed only when traffic is silent") {
+TEST_CASE("a server is probed only without traffic") {
   ProbeScheduler probes({0.005, seconds(2)}, kStart - seconds(10));
   probes.OnAnswer(kStart);
   CHECK_FALSE(probes.StartIfDue(kStart + milliseconds(1999)));
@@ -53,13 +53,13 @@
   CHECK(probes.probes() == 1);
   CHECK(probes.spent() == milliseconds(6));
 
-  SECTION("and never with a budget of nothing") {
+  SECTION("and never without a budget") {
     probes.set_options({0, seconds(2)});
     CHECK_FALSE(probes.StartIfDue(kStart + seconds(30)));
   }
 }
 
-TEST_CASE("a request may wait for the server's word on its pace") {
+TEST_CASE("a request may wait for an on-demand probe") {
   ProbeScheduler probes({0.2, milliseconds(250), milliseconds(15)},
                         kStart - seconds(10));
   probes.OnAnswer(kStart);
@@ -70,11 +70,11 @@
   CHECK(probes.IsRunning());
   CHECK_FALSE(probes.StartOnDemand(looked));  // One at a time.
 
-  SECTION("which then holds for a while") {
+  SECTION("whose answer is valid for a short time") {
     probes.End(milliseconds(1), true, looked);
     CHECK_FALSE(probes.IsStale(looked + milliseconds(14)));
   }
-  SECTION("but not again and again for a server that is silent") {
+  SECTION("but not repeatedly for a server that does not answer") {
     probes.End(milliseconds(20), false, looked);
     CHECK_FALSE(probes.IsStale(looked + milliseconds(100)));
     CHECK(probes.IsStale(looked + milliseconds(200)));
@@ -84,13 +84,13 @@
     probes.set_options({0, milliseconds(250), milliseconds(15)});
     CHECK_FALSE(probes.StartOnDemand(looked + milliseconds(50)));
   }
-  SECTION("and not where it is not declared") {
+  SECTION("and not if it is not declared") {
     probes.set_options({0.2, milliseconds(250)});
     CHECK_FALSE(probes.IsStale(looked + seconds(5)));
   }
 }
 
-TEST_CASE("a node that starts again and again keeps the budget") {
+TEST_CASE("a node in a restart loop keeps the budget") {
   Duration spent{};
   for (int life = 0; life < 50; ++life) {
     const Instant began = kStart + life * seconds(3);
@@ -106,14 +106,14 @@
   CHECK(spent <= milliseconds(750));  // 0.5% of 150 s.
 }
 
-// A scheduler that only keeps the pauses.
+// A scheduler that keeps the probe interval but has no budget.
 struct Unbudgeted : ProbeScheduler {
   Unbudgeted(ProbeOptions options, Instant now)
       : ProbeScheduler((options.budget = 1, options), now) {}
 };
 
-// The server's time in the worst window of ten seconds. Each probe takes a
-// share of what it was allowed.
+// Returns the largest server time spent on probes in any window of ten seconds.
+// Each probe uses a share of its time limit.
 template <typename Scheduler>
 Duration WorstWindow(const std::vector<std::pair<int, int>>& steps,
                      const ProbeOptions& options) {
@@ -139,7 +139,7 @@
   return worst;
 }
 
-TEST_CASE("probes never cost more than the budget, whatever happens") {
+TEST_CASE("probes never exceed the budget") {
   const ProbeOptions options{0.005, milliseconds(100)};
   rc::prop("in every window of ten seconds", [&] {
     const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
@@ -147,7 +147,7 @@
     RC_ASSERT(WorstWindow<ProbeScheduler>(steps, options) <= milliseconds(50));
   });
 
-  SECTION("and a scheduler without a budget is noticed") {
+  SECTION("a scheduler without a budget fails the check") {
     const std::vector<std::pair<int, int>> steps(100, {200, 100});
     CHECK(WorstWindow<Unbudgeted>(steps, options) > milliseconds(50));
     CHECK(WorstWindow<ProbeScheduler>(steps, options) <= milliseconds(50));
--- a/tests/auto/admission/straggling_server_test.cc
+++ b/tests/auto/admission/straggling_server_test.cc
@@ -1,6 +1,6 @@
-// A server whose work takes a great part of what callers allow, beside more
-// callers than it can serve: what it starts is done in time, and nobody is told
-// "unknown" of what was never going to be done.
+// Guards against requests that are started too late: the server's work takes a
+// large part of the deadline, and there are more callers than it can serve.
+// Such work is done in vain, and its caller gets an "unknown" outcome.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -19,40 +19,42 @@
 
 constexpr Instant kStart = Instant(std::chrono::hours(1));
 constexpr milliseconds kDeadline(3000);
-constexpr milliseconds kStraggling(700);
-constexpr milliseconds kWell(50);
+constexpr milliseconds kSlowWork(700);
+constexpr milliseconds kNormalWork(50);
 constexpr milliseconds kTick(10);
 constexpr int kSlots = 4;
 
-struct Figures {
+struct Counts {
   int started = 0;
   int answered = 0;
-  int hopeless = 0;  // Started with less time left than their work takes.
-  // The same, but for a tenth of the work.
-  int quite_hopeless = 0;
+  // Started with less time left than the work takes.
+  int started_too_late = 0;
+  // Started with less time left than 90% of the work takes.
+  int started_far_too_late = 0;
   int refused = 0;
 };
 
-// Requests without a target, of one length, at random times.
-class Play {
+// Requests of one length without a target, at random times.
+class Simulation {
  public:
-  Play() : admission_({.slots = kSlots, .queue = 100, .adaptive = false}) {}
+  Simulation()
+      : admission_({.slots = kSlots, .queue = 100, .adaptive = false}) {}
 
-  // `work` of each; `load`: of what the slots can serve.
-  Figures Run(Duration work, double load, int requests) {
-    figures_ = {};
+  // `work`: service time of each request; `load`: relative to the capacity.
+  Counts Run(Duration work, double load, int requests) {
+    counts_ = {};
     std::exponential_distribution<double> gaps(
         kSlots * load / std::chrono::duration<double>(work).count());
     work_ = work;
     for (int i = 0; i < requests; ++i) {
-      Pass(std::chrono::duration_cast<Duration>(
+      Advance(std::chrono::duration_cast<Duration>(
           std::chrono::duration<double>(gaps(random_))));
       deadlines_[++last_] = now_ + kDeadline;
-      Take(
+      Apply(
           admission_.Arrive({{1, last_}, "", "a", now_ + kDeadline, {}}, now_));
     }
-    Pass(kDeadline);
-    return figures_;
+    Advance(kDeadline);
+    return counts_;
   }
 
  private:
@@ -62,7 +64,7 @@
     bool operator>(const End& other) const { return at > other.at; }
   };
 
-  void Pass(Duration time) {
+  void Advance(Duration time) {
     const Instant until = now_ + time;
     while (now_ < until) {
       now_ = std::min<Instant>(now_ + kTick, until);
@@ -70,25 +72,26 @@
         const End end = running_.top();
         running_.pop();
         const bool is_answered = end.at <= deadlines_[end.id];
-        figures_.answered += is_answered ? 1 : 0;
-        Take(admission_.Finish(
+        counts_.answered += is_answered ? 1 : 0;
+        Apply(admission_.Finish(
             {1, end.id}, end.at,
             is_answered ? ServerResult::kAnswered : ServerResult::kUncertain));
       }
-      Take(admission_.Tick(now_));
+      Apply(admission_.Tick(now_));
     }
   }
 
-  void Take(const AdmissionActions& actions) {
+  void Apply(const AdmissionActions& actions) {
     for (const AdmissionAction& action : actions) {
       const uint64_t id = action.attempt.sequence;
       if (action.kind != ActionKind::kStart) {
-        ++figures_.refused;
+        ++counts_.refused;
         continue;
       }
-      ++figures_.started;
-      figures_.hopeless += now_ + work_ > deadlines_[id] ? 1 : 0;
-      figures_.quite_hopeless += now_ + 0.9 * work_ > deadlines_[id] ? 1 : 0;
+      ++counts_.started;
+      counts_.started_too_late += now_ + work_ > deadlines_[id] ? 1 : 0;
+      counts_.started_far_too_late +=
+          now_ + 0.9 * work_ > deadlines_[id] ? 1 : 0;
       running_.push({now_ + work_, id});
     }
   }
@@ -100,41 +103,41 @@
   std::mt19937_64 random_{7};
   std::map<uint64_t, Instant> deadlines_;
   std::priority_queue<End, std::vector<End>, std::greater<>> running_;
-  Figures figures_;
+  Counts counts_;
 };
 
-TEST_CASE("a server begins to straggle without a warning") {
-  Play play;
-  play.Run(kWell, 0.5, 1000);
+TEST_CASE("a server suddenly becomes slow") {
+  Simulation simulation;
+  simulation.Run(kNormalWork, 0.5, 1000);
   const double load = GENERATE(1.1, 1.5, 3.0);
-  const Figures figures = play.Run(kStraggling, load, 200);
-  CAPTURE(load, figures.started, figures.answered, figures.refused);
+  const Counts counts = simulation.Run(kSlowWork, load, 200);
+  CAPTURE(load, counts.started, counts.answered, counts.refused);
 
-  SECTION("and starts nothing soon that it cannot finish by far") {
-    CHECK(figures.quite_hopeless == 0);
+  SECTION("and starts no request far too late") {
+    CHECK(counts.started_far_too_late == 0);
   }
 }
 
-TEST_CASE("a straggling server gets more than it can do") {
-  Play play;
-  play.Run(kStraggling, 0.5, 100);  // Its gate learns how long it takes.
+TEST_CASE("a slow server is overloaded") {
+  Simulation simulation;
+  simulation.Run(kSlowWork, 0.5, 100);  // Sets the service time estimate.
   const double load = GENERATE(1.1, 1.5, 3.0);
-  const Figures figures = play.Run(kStraggling, load, 1000);
-  CAPTURE(load, figures.started, figures.answered, figures.refused);
+  const Counts counts = simulation.Run(kSlowWork, load, 1000);
+  CAPTURE(load, counts.started, counts.answered, counts.refused);
 
-  SECTION("and starts only what it can finish") {
-    CHECK(figures.hopeless == 0);
+  SECTION("and starts only requests that it can finish") {
+    CHECK(counts.started_too_late == 0);
   }
-  SECTION("and is kept at work") {
+  SECTION("and stays fully used") {
     const double time = 1000 *
-                        std::chrono::duration<double>(kStraggling).count() /
+                        std::chrono::duration<double>(kSlowWork).count() /
                         (kSlots * load);
     const double capacity =
-        kSlots * time / std::chrono::duration<double>(kStraggling).count();
-    CHECK(figures.answered >= 0.95 * capacity);
+        kSlots * time / std::chrono::duration<double>(kSlowWork).count();
+    CHECK(counts.answered >= 0.95 * capacity);
   }
-  SECTION("and serves all again once it is well") {
-    const Figures well = play.Run(kWell, 0.5, 1000);
+  SECTION("and serves all requests again once it recovers") {
+    const Counts well = simulation.Run(kNormalWork, 0.5, 1000);
     CHECK(well.refused <= 5);
     CHECK(well.answered >= 995);
   }
