--- a/src/libs/gate/gate.cc
+++ b/src/libs/gate/gate.cc
@@ -20,8 +20,8 @@
 constexpr std::chrono::milliseconds kTickInterval(10);
 constexpr std::chrono::milliseconds kReportInterval(200);
 
-// Connections to the own server: it is the only one to be spoken to, and runs
-// no more requests than the limit lets through.
+// Returns the options of the connections to the own server. They need no limit:
+// there is only one server, and admission bounds its concurrent requests.
 net::HttpClientOptions ServerConnections(
     const server::AnyServerProtocol& protocol) {
   net::HttpClientOptions options;
--- a/src/libs/gate/gate.h
+++ b/src/libs/gate/gate.h
@@ -1,5 +1,5 @@
-// The admission side: the only way to this node's own server. Runs on the
-// gate thread.
+// The gate: admits requests to this node's own server, the only path to it.
+// Runs on the gate thread.
 #ifndef GATE_GATE_H_
 #define GATE_GATE_H_
 
@@ -36,12 +36,13 @@
 
 class Gate {
  public:
-  // What the gate tells of its server. Each is called on the gate's thread.
+  // Notifications about the server, called on the gate thread.
   struct Outputs {
-    std::function<void(const GateReport&)> report;  // A few times a second.
-    // The server ended with what it ran.
+    // Called several times a second.
+    std::function<void(const GateReport&)> report;
+    // The server crashed while it ran these requests.
     std::function<void(const quarantine::ServerCrash&)> server_crash;
-    // The server answered a request that is not free.
+    // The server answered a request that is suspected or in quarantine.
     std::function<void(base::RequestFingerprint)> suspect_answered;
   };
 
@@ -54,46 +55,49 @@
        Outputs outputs);
   ~Gate();
 
-  // Binds the peer listener. Call before the loop runs.
+  // Binds the peer listener and returns its address. Call before the loop runs.
   base::Result<base::SocketAddress> Listen(const base::SocketAddress& address);
 
-  // Called on the gate's thread.
+  // Call on the gate thread.
   void SetServer(const server::ServerState& server);
   void SetConfiguration(const declarations::Configuration& configuration) {
     recorder_.SetConfiguration(configuration);
   }
   void SetVerdicts(quarantine::SharedVerdicts verdicts);
   void SetKeyView(std::vector<keys::OwnerNode> nodes, base::Instant as_of);
-  // Refuses new work; `empty` is called once nothing is in flight.
+  // Refuses new requests; `empty` is called once no request is in flight.
   void Drain(std::function<void()> empty);
 
-  // For the gate's thread.
+  // Call on the gate thread.
   const telemetry::TrafficMetrics& metrics() const {
     return recorder_.metrics();
   }
   size_t in_flight() const { return attempts_.size(); }
 
  private:
-  // gate.cc: taking attempts, and answering the nodes that sent them.
+  // gate_admission.cc: checks and admits the attempts that other nodes send.
   void OnRequest(net::HttpRequest request, net::Reply reply);
   bool IsAuthorized(const wire::PeerRequestHead& head,
                     const net::HttpHeaders& headers) const;
   void Receive(const wire::PeerRequestHead& head,
                net::HttpRequest request,
                net::Reply reply);
-  // Admits those that waited for the server's word on its pace.
+  // Admits the requests that waited for an on-demand probe.
   void AdmitDeferred();
   void Admit(GateArrival arrival);
-  // Whether the attempt was answered because the server is not to have it.
+  // Answers the request with an error if the server must not get it. Returns
+  // whether it did.
   bool RejectIfUnservable(GateArrival& arrival, base::Instant now);
-  // Why the request is held back, if it is so before it is queued.
+  // Returns the refusal if the request must not be queued because of a
+  // quarantine verdict.
   std::optional<quarantine::GuardRefusal> QuarantineRefusal(
       const GateArrival& arrival,
       base::Instant now) const;
-  // Says whether the attempt would be let in now. Nothing is kept of it.
+  // Answers whether the attempt would be admitted now, without recording it.
   void AnswerInquiry(const admission::Arrival& asked, net::Reply& reply);
   void AddAttempt(GateArrival arrival);
-  // Whether another server would do better with a request that may move.
+  // Returns whether another server would do better with a request that may
+  // move.
   bool ShouldMoveElsewhere(const wire::PeerRequestHead& head,
                            base::Instant now) const;
   admission::AttemptState Settle(const SettleRequest& request);
@@ -104,10 +108,10 @@
   void Record(const GateAttempt& attempt,
               std::optional<base::ErrorKind> error,
               base::Instant now);
-  // Tells why an attempt has no answer of the server, or a late one. Adds the
-  // state of the server to `decision`.
+  // Logs why the server did not answer an attempt, or answered it late. Adds
+  // the state of the server to `decision`.
   void LogDecision(GateDecision decision) const;
-  // Ends an attempt with the answer to it.
+  // Sends the answer that ends an attempt.
   void Answer(GateAttempt& attempt, net::HttpAnswer answer);
   void SendAnswer(net::Reply& reply, net::HttpAnswer answer);
   void AddLoad(net::HttpAnswer& answer) const;
@@ -115,30 +119,31 @@
   void CheckEmpty();
   void Report(base::Instant now);
 
-  // gate_serving.cc: what becomes of attempts at the server.
-  // Hands the attempt to the server. Returns what to do next if it is not to
-  // have it any more.
+  // gate_serving.cc: attempts at the server.
+  // Hands the attempt to the server. Returns further actions if it must not be
+  // sent any more.
   admission::AdmissionActions Start(const base::AttemptId& id);
   std::optional<quarantine::GuardRefusal> FindRefusalAtStart(
       const GateAttempt& attempt,
       base::Instant now);
   void SendToServer(GateAttempt& attempt, base::Instant now);
-  // Hands the answer on as it comes, if it is large.
+  // Starts to stream the answer to the sender if it is large. Returns whether
+  // it does.
   bool StartRelay(const base::AttemptId& id, const net::HttpAnswer& head);
   bool RelayPart(const base::AttemptId& id, std::string_view part);
   void OnServerDone(const base::AttemptId& id, net::TransferResult result);
-  // Takes note of what the end says of the server and of the request.
+  // Passes the result to the server observer and to the quarantine guard.
   void RecordEnd(const GateAttempt& attempt,
                  server::RequestEnd end,
                  const net::TransferResult& result,
                  base::Instant now);
-  // The server ended while it ran these.
+  // The server crashed while it ran these requests.
   void OnServerCrashed(
       const std::vector<admission::InterruptedRequest>& broken);
-  // Refuses what waits, and stops what may be stopped, of requests that were
-  // put in quarantine meanwhile.
+  // Refuses queued requests, and stops running ones where allowed, that have
+  // been put in quarantine since they arrived.
   void CancelQuarantined();
-  // What the sender of an attempt that is cancelled is told.
+  // The errors sent for a cancelled attempt.
   struct CancelReason {
     base::ErrorKind not_run = base::ErrorKind::kCancelled;
     base::ErrorKind stopped = base::ErrorKind::kConnectionLost;
@@ -147,8 +152,8 @@
   admission::AttemptState CancelAttempt(const base::AttemptId& id,
                                         bool stop_running,
                                         const CancelReason& reason);
-  // Whether the attempt was admitted, but waited for a connection to the
-  // server: then it never runs.
+  // Cancels an attempt that was admitted but still waits for a connection to
+  // the server, so that it never runs. Returns whether it did.
   bool CancelUnsent(const base::AttemptId& id,
                     const CancelReason& reason,
                     base::Instant now);
@@ -174,7 +179,8 @@
   std::unique_ptr<net::HttpServer> listener_;
   absl::flat_hash_map<base::AttemptId, std::unique_ptr<GateAttempt>> attempts_;
   std::function<void()> on_empty_;
-  bool is_empty_logged_ = false;  // That the draining server has no work left.
+  // The event that the draining server has no requests left.
+  bool is_empty_logged_ = false;
   net::EventLoop::TimerId ticker_ = 0;
 };
 
--- a/src/libs/gate/gate_admission.cc
+++ b/src/libs/gate/gate_admission.cc
@@ -1,5 +1,5 @@
-// What other nodes ask of a gate: who may, and whether a request runs, waits or
-// is handed back.
+// Requests from other nodes: authorization, and whether a request starts, is
+// queued or is returned to its sender.
 #include <optional>
 #include <utility>
 
@@ -66,9 +66,10 @@
       .deadline = now + head.remaining - pause_detector_.UnobservedDelay(now),
       .target = TargetOf(head, now)};
   arrival.is_inquiry = arrival.request.target == traffic::kCapacityInquiryPath;
-  // How slow the server is when a request starts decides how long it takes, so
-  // one that could go elsewhere waits for the server's word if there is none of
-  // now. To a cold server a probe is as much as a request.
+  // The slowness of the server at the start of a request determines how long it
+  // takes, so a request that could be sent elsewhere waits for a probe if there
+  // is no recent report. A cold server is not probed: a probe costs it as much
+  // as a request.
   const bool may_wait = head.may_move && server_.TakesWork() &&
                         admission_.HasCapacity(now) &&
                         !admission_.cold_limiter().IsLimited(now);
@@ -142,9 +143,9 @@
     const GateArrival& arrival,
     base::Instant now) const {
   const wire::PeerRequestHead& head = arrival.head;
-  // A copy of an attempt that is here must not hear that it does not run.
+  // A duplicate of a known attempt must not be answered with "not run".
   const bool is_new = admission_.State(head.attempt) == AttemptState::kUnknown;
-  // What ran under a key is answered from its record; what is new to it is
+  // A request that ran under its key is answered from the record. A new one is
   // refused when it would start.
   const bool has_key = KeyedRequests::HasKey(arrival.request);
   if (!is_new || has_key)
--- a/src/libs/gate/gate_arrival.h
+++ b/src/libs/gate/gate_arrival.h
@@ -1,4 +1,4 @@
-// An attempt as it came to a gate from its ingress.
+// An attempt as received by the gate from another node's ingress.
 #ifndef GATE_GATE_ARRIVAL_H_
 #define GATE_GATE_ARRIVAL_H_
 
@@ -17,8 +17,9 @@
   net::Reply reply;
   base::Instant arrived_at;
   base::Instant deadline;
-  std::optional<base::Instant> target;  // An answer is worth less after it.
-  bool is_inquiry = false;  // Asks for a place; the request itself follows.
+  std::optional<base::Instant> target;  // The answer loses value after it.
+  // A capacity inquiry; the request itself is sent later.
+  bool is_inquiry = false;
 };
 
 }  // namespace chestnutport::gate
--- a/src/libs/gate/gate_attempt.h
+++ b/src/libs/gate/gate_attempt.h
@@ -1,4 +1,4 @@
-// An attempt at a gate, from its admission to its answer.
+// An attempt at the gate, from its admission to its answer.
 #ifndef GATE_GATE_ATTEMPT_H_
 #define GATE_GATE_ATTEMPT_H_
 
@@ -21,26 +21,26 @@
   base::AttemptId id;
   base::Instant deadline;
   bool may_stop = false;
-  std::string name;  // As the caller named it.
+  std::string name;  // The request name given by the caller.
   quarantine::GuardedRequest guarded;
-  // The life of the server that it was sent to, and how that names itself.
+  // Incarnation number and instance id of the server that it was sent to.
   uint64_t life = 0;
   std::string instance;
   std::string service;
   std::string tenant;
   std::string traffic_class;
   base::Instant arrived_at;
-  std::optional<base::Instant> started_at;  // When the server got it.
-  std::optional<base::Instant> target;      // An answer is worth less after it.
-  // Of the server, as it was known when the attempt was admitted.
+  std::optional<base::Instant> started_at;  // When it was sent to the server.
+  std::optional<base::Instant> target;      // The answer loses value after it.
+  // The server's slowness known at admission, and the age of its report.
   double slowness = 1;
   std::optional<base::Duration> slowness_age;
   std::string method;
   net::HttpRequest request;
   net::Reply reply;
   net::HttpClient::TransferId transfer = 0;
-  std::unique_ptr<traffic::AnswerRelay>
-      relay;  // Of an answer that is streamed.
+  // Of an answer that is streamed.
+  std::unique_ptr<traffic::AnswerRelay> relay;
 };
 
 }  // namespace chestnutport::gate
--- a/src/libs/gate/gate_log.cc
+++ b/src/libs/gate/gate_log.cc
@@ -11,12 +11,12 @@
 using telemetry::Event;
 using telemetry::LogRequestEvent;
 
-// Bytes of the requests in a line; a value of a line has 200 at most.
-constexpr size_t kLongestRunning = 180;
+// Maximum bytes of the list of requests; a log value holds 200.
+constexpr size_t kMaxRunningBytes = 180;
 
-// What reached the server has lines of its own: while servers are missing,
-// those of what is refused use up the limit of theirs within a tenth of a
-// second.
+// Attempts that reached the server have an event of their own: while servers
+// are missing, the lines of refused attempts use up the rate limit of their
+// event within a tenth of a second.
 Event EventOf(const GateDecision& decision) {
   if (!decision.error)
     return Event::kServerLate;
@@ -24,7 +24,7 @@
                                                         : Event::kGateDecided;
 }
 
-// As many as a value of a line holds; with how long each had run.
+// Lists the requests with their run times, as many as a log value holds.
 std::string DescribeRunning(
     std::span<const admission::InterruptedRequest> running) {
   std::string text;
@@ -33,7 +33,7 @@
         request.fingerprint.ToString(), "+",
         base::FormatDuration(std::chrono::round<std::chrono::milliseconds>(
             request.interrupted_at - request.started_at)));
-    if (text.size() + one.size() > kLongestRunning)
+    if (text.size() + one.size() > kMaxRunningBytes)
       break;
     absl::StrAppend(&text, text.empty() ? "" : " ", one);
   }
--- a/src/libs/gate/gate_log.h
+++ b/src/libs/gate/gate_log.h
@@ -1,5 +1,5 @@
-// The log lines of a gate: what it did with an attempt, on what, and how old
-// that was. An ordinary success has none.
+// Log lines of a gate: the decision on an attempt, with the data it was based
+// on and its age. Ordinary successes are not logged.
 #ifndef GATE_GATE_LOG_H_
 #define GATE_GATE_LOG_H_
 
@@ -15,29 +15,30 @@
 
 namespace chestnutport::gate {
 
-// What a gate did with an attempt, and the state of its server just then.
+// The decision on an attempt, and the state of the server at that time.
 struct GateDecision {
-  std::string request;  // As the caller named it.
+  std::string request;  // The request name given by the caller.
   base::RequestFingerprint fingerprint;
   std::string instance;
-  std::optional<base::ErrorKind> error;  // None: the server's answer.
+  std::optional<base::ErrorKind> error;  // Unset: answered by the server.
   base::Duration queued{};
-  std::optional<base::Duration> serving;  // None: it did not reach the server.
-  // By which the attempt was admitted.
+  std::optional<base::Duration> serving;  // Unset: not sent to the server.
+  // The slowness known at admission, and the age of its report.
   double admitted_slowness = 1;
-  std::optional<base::Duration> slowness_age;  // Nothing: it was never told.
-  // What the asking node takes for usual in the service; see ServerPerformance.
+  std::optional<base::Duration> slowness_age;  // Unset: no report.
+  // The usual strain of the service as seen by the sending node; see
+  // ServerPerformance.
   std::optional<double> usual_strain;
-  // The state of the server as of now.
+  // The current state of the server.
   wire::LoadReport load;
   double slowness = 1;
   double failure_share = 0;
 };
 
-// For what the server did not answer, and for what it answered late.
+// Call for an attempt that the server did not answer, or answered late.
 void LogGateDecision(const GateDecision& decision);
 
-// The gate's server ended while it ran these.
+// The gate's server crashed while it ran these requests.
 void LogServerCrash(const std::string& service,
                     std::span<const admission::InterruptedRequest> running);
 
--- a/src/libs/gate/gate_report.h
+++ b/src/libs/gate/gate_report.h
@@ -1,4 +1,5 @@
-// What the gate thread tells the control thread about this node's own server.
+// The state of this node's own server, reported by the gate thread to the
+// control thread.
 #ifndef GATE_GATE_REPORT_H_
 #define GATE_GATE_REPORT_H_
 
@@ -10,14 +11,15 @@
 namespace chestnutport::gate {
 
 struct GateReport {
-  uint64_t life = 0;          // Of the server that this tells of.
+  uint64_t life = 0;          // Incarnation number of the server.
   base::Instant cold_until;   // As far as the gate knows.
-  base::Instant last_answer;  // Of the server, to a request or a probe.
+  base::Instant last_answer;  // To a request or a probe.
   wire::LoadReport load;
-  base::Duration
-      slowness_report_age{};  // Of what the server last said of its pace.
+  // Age of the server's last slowness report; exported as
+  // chestnutport_server_word_age_seconds.
+  base::Duration slowness_report_age{};
   uint64_t probes = 0;
-  base::Duration probe_time{};  // The server's time spent on them, in all.
+  base::Duration probe_time{};  // Total server time spent on probes.
 };
 
 }  // namespace chestnutport::gate
--- a/src/libs/gate/gate_serving.cc
+++ b/src/libs/gate/gate_serving.cc
@@ -1,5 +1,5 @@
-// What becomes of attempts at the server: handing them over, their ends, and
-// stopping them.
+// Attempts at the server: sending them, handling their results, and stopping
+// them.
 #include <algorithm>
 #include <optional>
 #include <utility>
@@ -25,7 +25,7 @@
   const auto found = attempts_.find(id);
   if (found == attempts_.end())
     return {};
-  // Read anew: the process may have been stopped since the decision.
+  // Read again: the process may have been paused since the decision.
   const base::Instant now = base::Clock::now();
   if (const auto refusal = FindRefusalAtStart(*found->second, now)) {
     Refuse(id, refusal->error, refusal->retry_after);
@@ -42,7 +42,7 @@
     return quarantine::GuardRefusal{ErrorKind::kDeadlineTooClose, {}};
   if (!keyed_requests_.MayStart(attempt.id, now))
     return quarantine::GuardRefusal{ErrorKind::kKeyRecordUnavailable, {}};
-  // It may have waited while a verdict was passed.
+  // The verdict may have changed while the attempt was queued.
   return guard_.Judge(attempt.guarded, now);
 }
 
@@ -98,7 +98,8 @@
 }
 
 void Gate::OnServerDone(const AttemptId& id, net::TransferResult result) {
-  // One that is stopped is cancelled first, so its end is not heard of.
+  // A stopped attempt was removed when it was cancelled, so its result is
+  // ignored.
   const auto ended = attempts_.extract(id);
   if (ended.empty())
     return;
@@ -141,7 +142,7 @@
   end.started_at = *attempt.started_at;
   end.instance = attempt.instance;
   observer_.OnRequestEnd(end, result.answer, now);
-  // Also an answer that cannot be handed on comes from a server that goes on.
+  // An answer that cannot be relayed still shows that the server is running.
   const bool is_answered = end.end == net::TransferEnd::kComplete &&
                            (end.verdict == server::ServerVerdict::kAnswered ||
                             end.verdict == server::ServerVerdict::kUnusable);
@@ -153,7 +154,8 @@
 void Gate::OnServerCrashed(
     const std::vector<admission::InterruptedRequest>& broken) {
   LogServerCrash(server_.service, broken);
-  // What it got in all explains the end, so no single request is blamed.
+  // If the server had got more requests than a cold one tolerates, their number
+  // explains the crash and no single request is blamed.
   const bool is_explained = std::ranges::all_of(
       broken, &admission::InterruptedRequest::is_over_cold_rate);
   if (is_explained)
@@ -188,8 +190,8 @@
   }
 }
 
-// Returns the state after it; kRunning: it runs on or, if stopped, ran until
-// now and may have taken effect.
+// Returns the state after the call. kRunning: the attempt goes on or, if it was
+// stopped, ran until now and may have taken effect.
 AttemptState Gate::CancelAttempt(const AttemptId& id,
                                  bool stop_running,
                                  const CancelReason& reason) {
--- a/src/libs/gate/keyed_requests.cc
+++ b/src/libs/gate/keyed_requests.cc
@@ -15,12 +15,13 @@
 using keys::ClaimVerdict;
 using keys::Standing;
 
-// Set by the ingress node on each request that is bound to its key's owner.
+// Returns the header that the ingress node sets on each request sent to the
+// owner of its key, or an empty string.
 std::string_view KeyAge(const net::HttpRequest& request) {
   return net::FindHeader(request.headers, wire::kKeyAgeHeader);
 }
 
-// Nothing if the key may be used.
+// Returns nothing if the key may be used.
 std::optional<net::HttpAnswer> AnswerTo(const keys::StandingAnswer& standing) {
   switch (standing.standing) {
     case Standing::kRuns:
@@ -38,7 +39,7 @@
   return net::MakeErrorAnswer(ErrorKind::kKeyRecordUnavailable);
 }
 
-// Nothing if the request is to be run.
+// Returns nothing if the request may run.
 std::optional<net::HttpAnswer> AnswerTo(const keys::Claim& claim) {
   switch (claim.verdict) {
     case ClaimVerdict::kRun:
@@ -87,7 +88,7 @@
                            request.headers, wire::kIdempotencyKeyHeader))};
   const auto standing =
       ownership_.StandingOf(scope.Hash(), base::ParseDuration(age), now);
-  // What is on record here is known whatever happened to the ownership.
+  // A key with a record here is known regardless of changes of ownership.
   const bool is_known = ledger_.Knows(scope);
   if (!is_known) {
     if (auto answer = AnswerTo(standing))
--- a/src/libs/gate/keyed_requests.h
+++ b/src/libs/gate/keyed_requests.h
@@ -1,4 +1,4 @@
-// The requests with idempotency keys at the gate of the node that owns them.
+// Requests with idempotency keys, at the gate of the node that owns the keys.
 // Runs on the gate thread.
 #ifndef GATE_KEYED_REQUESTS_H_
 #define GATE_KEYED_REQUESTS_H_
@@ -22,22 +22,23 @@
  public:
   explicit KeyedRequests(base::NodeId self);
 
-  // The nodes of this node's service, as known at `as_of`.
+  // Sets the nodes of this node's service, as known at `as_of`.
   void SetView(std::vector<keys::OwnerNode> nodes, base::Instant as_of);
 
-  // Whether the request, as another node sends it, bears a key.
+  // Returns whether a request from another node carries a key.
   static bool HasKey(const net::HttpRequest& request);
 
-  // Call when an attempt arrives. The answer to give at once; nothing if the
-  // attempt is to go on, which it is also if it bears no key.
+  // Call when an attempt arrives. Returns the answer to send at once, or
+  // nothing if the attempt may proceed, with or without a key.
   std::optional<net::HttpAnswer> Begin(const wire::PeerRequestHead& head,
                                        const net::HttpRequest& request,
                                        base::Instant now);
-  // Call just before the attempt is handed to the server: whether it may be.
+  // Call just before the attempt is sent to the server. Returns whether it may
+  // be sent.
   bool MayStart(const base::AttemptId& attempt, base::Instant now) const;
-  // Call in place of OnEnd() once an answer begins that is too large to keep.
+  // Call instead of OnEnd() when an answer starts that is too large to store.
   void OnStreamed(const base::AttemptId& attempt, base::Instant now);
-  // Call with the answer to an attempt that went on; adds to its headers.
+  // Call with the answer to an attempt that proceeded; adds headers to it.
   void OnEnd(const base::AttemptId& attempt,
              net::HttpAnswer& answer,
              base::Instant now);
--- a/src/libs/gate/server_answer.cc
+++ b/src/libs/gate/server_answer.cc
@@ -13,7 +13,7 @@
 using admission::ServerResult;
 using base::ErrorKind;
 
-// Headers that only a node may put on an answer.
+// Headers that only nodes may set on an answer.
 constexpr const char* kNodeAnswerHeaders[] = {
     wire::kOutcomeHeader, wire::kErrorHeader, wire::kLoadHeader,
     wire::kServerTimeHeader};
@@ -36,7 +36,7 @@
       return ServerResult::kAnswered;
     case server::ServerVerdict::kShed:
       return ServerResult::kShed;
-    // Says nothing of the load of the server that was meant.
+    // Gives no information on the load of the intended server.
     case server::ServerVerdict::kOtherInstance:
       return ServerResult::kNotSent;
     case server::ServerVerdict::kUnusable:
--- a/src/libs/gate/server_answer.h
+++ b/src/libs/gate/server_answer.h
@@ -1,5 +1,5 @@
-// What a transfer to this node's own server means for admission, and for the
-// node that handed over the request.
+// Translates the result of a transfer to this node's own server for admission,
+// and for the node that sent the request.
 #ifndef GATE_SERVER_ANSWER_H_
 #define GATE_SERVER_ANSWER_H_
 
@@ -14,17 +14,16 @@
 
 namespace chestnutport::gate {
 
-// What the end of a transfer says, with the verdict on its answer if it has a
-// whole one.
+// Returns the result of a transfer; `verdict` applies to a complete answer.
 admission::ServerResult ToServerResult(net::TransferEnd end,
                                        server::ServerVerdict verdict);
 
-// Nothing if the server answered.
+// Returns nothing if the server answered.
 std::optional<base::ErrorKind> ErrorOf(net::TransferEnd end,
                                        server::ServerVerdict verdict);
 
-// The server's answer, or its head, marked as such and with the time that the
-// server took.
+// Returns the server's answer, or its head, with the headers for another node,
+// which include the server time.
 net::HttpAnswer MakePeerAnswer(net::HttpAnswer answer,
                                base::Duration server_time);
 
--- a/src/libs/gate/settle_calls.cc
+++ b/src/libs/gate/settle_calls.cc
@@ -12,12 +12,12 @@
 using base::AttemptId;
 using nlohmann::json;
 
-// True also if it is left out.
+// Returns the flag, true by default.
 bool ReadFlag(const json& request, const char* field) {
   return !request.contains(field) || request[field] != false;
 }
 
-std::optional<SettleRequest> ReadRequest(const std::string& text) {
+std::optional<SettleRequest> ParseRequest(const std::string& text) {
   const json read = json::parse(text, nullptr, false);
   if (!read.is_object() || !read.contains("attempt") ||
       !read["attempt"].is_string()) {
@@ -45,7 +45,7 @@
 }
 
 std::string SettleCalls::Settle(const std::string& params) const {
-  const auto request = ReadRequest(params);
+  const auto request = ParseRequest(params);
   if (!request)
     return "";
   const AttemptState state = handler_(*request);
--- a/src/libs/gate/settle_calls.h
+++ b/src/libs/gate/settle_calls.h
@@ -1,6 +1,5 @@
-// The control call by which another node asks what became of an attempt, or
-// cancels it. Reads the question and words the answer; what is done is up to
-// the handler.
+// The RPC by which another node queries the state of an attempt, or cancels it.
+// Decodes the call and encodes the result; the handler carries it out.
 #ifndef GATE_SETTLE_CALLS_H_
 #define GATE_SETTLE_CALLS_H_
 
@@ -16,23 +15,23 @@
 
 struct SettleRequest {
   base::AttemptId attempt;
-  bool cancel = true;        // Makes sure that it does not start any more.
-  bool stop_running = true;  // One that runs is cut off, if it is cancelled.
+  bool cancel = true;        // Guarantees that it does not start after this.
+  bool stop_running = true;  // A cancelled attempt that runs is interrupted.
 };
 
 class SettleCalls {
  public:
-  // Returns the state after it was done as asked.
+  // Returns the state of the attempt after the request was carried out.
   using Handler =
       std::function<admission::AttemptState(const SettleRequest& request)>;
 
   explicit SettleCalls(Handler handler);
 
-  // The answer to a call; one that is no question is answered with an error.
+  // Returns the answer to a call; a malformed call is answered with an error.
   net::HttpAnswer Answer(const std::string& body);
 
  private:
-  // The result; empty: the parameters are none.
+  // Returns the result, or an empty string if the parameters are invalid.
   std::string Settle(const std::string& params) const;
 
   Handler handler_;
--- a/tests/auto/gate/settle_calls_test.cc
+++ b/tests/auto/gate/settle_calls_test.cc
@@ -1,4 +1,4 @@
-// The control call that asks what became of an attempt, or cancels it.
+// The RPC that queries or cancels an attempt.
 #include "gate/settle_calls.h"
 
 #include <catch2/catch.hpp>
@@ -14,7 +14,7 @@
 using admission::AttemptState;
 using nlohmann::json;
 
-TEST_CASE("another node's question is read and answered") {
+TEST_CASE("a call of another node is decoded and answered") {
   std::optional<SettleRequest> asked;
   AttemptState state = AttemptState::kNeverRuns;
   SettleCalls calls([&](const SettleRequest& request) {
@@ -29,14 +29,14 @@
     return json::parse(sent.body);
   };
 
-  SECTION("it cancels and stops, unless it says otherwise") {
+  SECTION("it cancels and stops by default") {
     CHECK(answer()["result"]["never_runs"] == true);
     REQUIRE(asked);
     CHECK(asked->attempt == attempt);
     CHECK(asked->cancel);
     CHECK(asked->stop_running);
   }
-  SECTION("it may ask only") {
+  SECTION("it may only query") {
     params["cancel"] = false;
     state = AttemptState::kRunning;
     const json got = answer();
@@ -44,13 +44,13 @@
     CHECK(got["result"]["never_runs"] == false);
     CHECK_FALSE(asked->cancel);
   }
-  SECTION("it may let one that runs go on") {
+  SECTION("it may let a running attempt go on") {
     params["stop_running"] = false;
     answer();
     CHECK(asked->cancel);
     CHECK_FALSE(asked->stop_running);
   }
-  SECTION("what names no attempt does nothing") {
+  SECTION("a call without a valid attempt does nothing") {
     params["attempt"] = GENERATE(json("no name"), json(7), json());
     CHECK(answer().contains("error"));
     CHECK_FALSE(asked);
--- a/tests/support/gate_fixture.cc
+++ b/tests/support/gate_fixture.cc
@@ -43,20 +43,22 @@
 }  // namespace
 
 GateFixture::GateFixture(const server::AnyServerProtocol& protocol)
-    : gate_(loop_,
-            {kGateId, "a", "poa-a", "south"},
-            kKeys,
-            protocol,
-            running,
-            {.report = [this](const gate::GateReport& said) { report = said; },
-             .server_crash =
-                 [this](const quarantine::ServerCrash& crash) {
-                   crashes.push_back(crash);
-                 },
-             .suspect_answered =
-                 [this](base::RequestFingerprint fingerprint) {
-                   answered_suspects.push_back(fingerprint);
-                 }}),
+    : gate_(
+          loop_,
+          {kGateId, "a", "poa-a", "south"},
+          kKeys,
+          protocol,
+          running,
+          {.report =
+               [this](const gate::GateReport& reported) { report = reported; },
+           .server_crash =
+               [this](const quarantine::ServerCrash& crash) {
+                 crashes.push_back(crash);
+               },
+           .suspect_answered =
+               [this](base::RequestFingerprint fingerprint) {
+                 answered_suspects.push_back(fingerprint);
+               }}),
       peer_(loop_, net::HttpClientOptions{}) {
   server_ =
       net::HttpServer::Open(loop_, AnyPort(), net::HttpServerLimits{},
@@ -87,10 +89,11 @@
   return Send(HeadOf(++last_, request), "GET");
 }
 
-base::AttemptId GateFixture::BeginKeyed(const quarantine::GuardedRequest& asked,
-                                        const std::string& key) {
+base::AttemptId GateFixture::BeginKeyed(
+    const quarantine::GuardedRequest& request,
+    const std::string& key) {
   return Send(
-      HeadOf(++last_, asked), "POST",
+      HeadOf(++last_, request), "POST",
       {{wire::kIdempotencyKeyHeader, key}, {wire::kKeyAgeHeader, "0ms"}});
 }
 
@@ -115,10 +118,10 @@
 }
 
 net::TransferResult GateFixture::InquireCapacity(
-    const quarantine::GuardedRequest& asked) {
+    const quarantine::GuardedRequest& guarded) {
   wire::PeerRequestHead head = MakeHead(++last_);
-  head.fingerprint = asked.fingerprint;
-  head.is_suspect = asked.is_suspect;
+  head.fingerprint = guarded.fingerprint;
+  head.is_suspect = guarded.is_suspect;
   head.target_in = milliseconds(1);
   head.may_move = true;
   head.may_move_if_full = inquiry_may_move;
@@ -129,7 +132,7 @@
   peer_.Send(address_, std::move(request), seconds(10),
              [this, id](const auto& done) { results[id] = done; });
   if (!RunUntil([&] { return results.contains(id); }))
-    throw std::runtime_error("the inquiry was not answered");
+    throw std::runtime_error("the capacity inquiry was not answered");
   return results[id];
 }
 
@@ -143,28 +146,28 @@
 std::string GateFixture::Settle(const base::AttemptId& attempt,
                                 bool cancel,
                                 bool stop_running) {
-  std::string said = "none";
+  std::string reported = "none";
   wire::PeerRequestHead head;
   head.attempt = attempt;
   head.target = kGateId;
   head.remaining = seconds(5);
   net::HttpRequest request{.method = "POST", .target = traffic::kSettlePath};
   head.AppendTo(request.headers, kKeys.current);
-  const nlohmann::json asked = {{"attempt", attempt.ToString()},
-                                {"cancel", cancel},
-                                {"stop_running", stop_running}};
-  request.body = rpc::EncodeCall("attempt.settle", asked.dump());
+  const nlohmann::json params = {{"attempt", attempt.ToString()},
+                                 {"cancel", cancel},
+                                 {"stop_running", stop_running}};
+  request.body = rpc::EncodeCall("attempt.settle", params.dump());
   peer_.Send(address_, std::move(request), seconds(5),
              [&](const net::TransferResult& done) {
                std::string text;
                std::string error;
                rpc::DecodeAnswer("attempt.settle", done.answer.body, &text,
                                  &error);
-               said = nlohmann::json::parse(text)["state"];
+               reported = nlohmann::json::parse(text)["state"];
              });
-  if (!RunUntil([&] { return said != "none"; }))
-    throw std::runtime_error("the question was not answered");
-  return said;
+  if (!RunUntil([&] { return reported != "none"; }))
+    throw std::runtime_error("the settle call was not answered");
+  return reported;
 }
 
 bool GateFixture::RunUntil(const std::function<bool()>& holds) {
--- a/tests/support/gate_fixture.h
+++ b/tests/support/gate_fixture.h
@@ -1,5 +1,5 @@
-// A gate between another node and a server that behaves as a test wants, all on
-// one loop.
+// A gate between a peer node and a fake server with scripted behaviour, all on
+// one event loop.
 #ifndef SUPPORT_GATE_FIXTURE_H_
 #define SUPPORT_GATE_FIXTURE_H_
 
@@ -23,19 +23,19 @@
 class GateFixture {
  public:
   explicit GateFixture(const server::AnyServerProtocol& protocol);
-  // Of a server that speaks the product's own protocol.
+  // Uses the product's own server protocol.
   GateFixture();
 
-  // Tells the gate of `state`.
+  // Passes `state` to the gate.
   void Apply() { gate_.SetServer(state); }
 
-  // Begins an attempt; the result is in `results` once it ends.
+  // Starts an attempt; its result is stored in `results` when it ends.
   base::AttemptId Begin(const std::string& method,
                         base::Duration remaining = std::chrono::seconds(10));
-  // The same of a certain request, by the word of the other node a suspect or
-  // not.
+  // Starts an attempt with a fingerprint, marked as suspect or not by the
+  // sender.
   base::AttemptId BeginGuarded(const quarantine::GuardedRequest& request);
-  // The same with an idempotency key; see AcquireKeyOwnership().
+  // Starts an attempt with an idempotency key; see AcquireKeyOwnership().
   base::AttemptId BeginKeyed(const quarantine::GuardedRequest& request,
                              const std::string& key);
   // Makes the gate's node the owner of all keys.
@@ -43,27 +43,27 @@
   void SetVerdicts(const quarantine::Verdicts& verdicts) {
     gate_.SetVerdicts(std::make_shared<const quarantine::Verdicts>(verdicts));
   }
-  // The server ends; nobody listens at its address any more.
+  // Ends the server; its address then refuses connections.
   void EndServer() { server_.reset(); }
-  // Whether the gate would let a request in.
+  // Sends a capacity inquiry and returns its result.
   net::TransferResult InquireCapacity(
-      const quarantine::GuardedRequest& request = {});
-  // Waits for the end of an attempt.
+      const quarantine::GuardedRequest& guarded = {});
+  // Starts an attempt and waits for its result.
   net::TransferResult Run(const std::string& method);
-  // The state of the attempt, as the gate says.
+  // Queries or cancels the attempt and returns its state.
   std::string Settle(const base::AttemptId& attempt,
                      bool cancel,
                      bool stop_running = true);
-  // The other node goes away.
+  // Closes the peer's connection.
   void DisconnectPeer(size_t transfer) { peer_.Cancel(transfers.at(transfer)); }
 
-  // Runs until `holds`, for ten seconds at most.
+  // Runs the loop until `holds` returns true, for ten seconds at most.
   bool RunUntil(const std::function<bool()>& holds);
 
-  net::HttpAnswer answer;  // Of the server.
-  std::function<void()> on_request = [] {
-  };                       // Called while a request is served.
-  bool is_silent = false;  // The server answers nothing.
+  net::HttpAnswer answer;  // The server's answer.
+  // Called for each request that reaches the server.
+  std::function<void()> on_request = [] {};
+  bool is_silent = false;  // The server does not answer.
   bool inquiry_may_move = true;
   server::ServerState state;
   gate::GateReport report;
@@ -94,7 +94,7 @@
   uint64_t last_ = 0;
 };
 
-// What a gate said of an attempt.
+// Return the outcome and error headers of a gate's answer.
 std::string Outcome(const net::TransferResult& result);
 std::string Error(const net::TransferResult& result);
 
