--- a/src/libs/traffic/answer_relay.cc
+++ b/src/libs/traffic/answer_relay.cc
@@ -48,7 +48,7 @@
   const auto length = LengthOf(head);
   reply_.OnDrained([&client, transfer] { client.Continue(transfer); });
   reply_.OnGone([&client, transfer, on_gone = std::move(on_gone)] {
-    // A transfer that is let run must not wait for a receiver.
+    // A transfer that may go on must not wait for a receiver that is gone.
     client.Continue(transfer);
     on_gone();
   });
--- a/src/libs/traffic/answer_relay.h
+++ b/src/libs/traffic/answer_relay.h
@@ -1,5 +1,4 @@
-// Hands a large answer on as it comes, from a transfer to a reply, with a
-// bound on the bytes kept on the way.
+// Streams a large answer from a transfer to a reply, with bounded buffering.
 #ifndef TRAFFIC_ANSWER_RELAY_H_
 #define TRAFFIC_ANSWER_RELAY_H_
 
@@ -12,30 +11,31 @@
 
 namespace chestnutport::traffic {
 
-// Whether an answer to `method` is handed on as it comes: it is larger than
-// 64 KB, or of unknown length. Others are collected and sent whole, so that
-// one that is cut can still be replaced.
+// Returns whether an answer to `method` is streamed: it is larger than 64 KB or
+// of unknown length. Other answers are collected and sent whole, so that an
+// incomplete one can still be replaced.
 bool ShouldRelay(std::string_view method, const net::HttpAnswer& head);
 
-// Belongs to the transfer's callbacks. If the transfer is cut, so is the
-// reply's connection: the caller never takes a part for the whole.
+// Owned by the callbacks of the transfer. If the transfer is interrupted, the
+// reply's connection is closed, so that the caller never takes a partial answer
+// for a complete one.
 class AnswerRelay {
  public:
-  // Bytes kept for a receiver that reads slowly, plus one part of the body.
+  // Bytes buffered for a slow receiver, plus one part of the body.
   static constexpr size_t kMaxBufferedBytes = 256 * 1024;
 
-  // Sends the head at once. `on_gone` is called if the receiver goes away;
-  // from then on what comes is dropped. `client` must outlive the relay.
+  // Sends the head at once. `on_gone` is called if the receiver disconnects;
+  // the rest of the answer is then discarded. `client` must outlive the relay.
   AnswerRelay(net::HttpClient& client,
               net::HttpClient::TransferId transfer,
               net::HttpAnswer head,
               net::Reply reply,
               std::function<void()> on_gone);
 
-  // As HttpClient::OnBody.
+  // See HttpClient::OnBody.
   bool Write(std::string_view part);
-  // A transfer that was cut ends the receiver's connection, or gives it an
-  // error while nothing of the answer has been taken yet.
+  // An incomplete transfer closes the receiver's connection, or sends an error
+  // if no part of the answer has been taken yet.
   void End(net::TransferEnd end);
 
  private:
--- a/src/libs/traffic/node_identity.h
+++ b/src/libs/traffic/node_identity.h
@@ -1,4 +1,4 @@
-// Who this node is.
+// The identity of this node.
 #ifndef TRAFFIC_NODE_IDENTITY_H_
 #define TRAFFIC_NODE_IDENTITY_H_
 
--- a/src/libs/traffic/peer_paths.h
+++ b/src/libs/traffic/peer_paths.h
@@ -1,15 +1,15 @@
-// The paths of what nodes send each other's gates beside requests, on the peer
-// listener.
+// Paths of the peer listener for messages between nodes other than requests.
 #ifndef TRAFFIC_PEER_PATHS_H_
 #define TRAFFIC_PEER_PATHS_H_
 
 namespace chestnutport::traffic {
 
-// The question whether a gate has a place, and the status that says so.
+// Capacity inquiry: asks whether a gate would admit a request; status of a
+// positive answer.
 inline constexpr char kCapacityInquiryPath[] = "/chestnutport/place";
 inline constexpr int kCapacityAvailable = 204;
 
-// The question what became of an attempt.
+// RPC that queries or cancels an attempt.
 inline constexpr char kSettlePath[] = "/chestnutport/settle";
 inline constexpr char kSettleMethod[] = "attempt.settle";
 
--- a/src/libs/traffic/running_requests.cc
+++ b/src/libs/traffic/running_requests.cc
@@ -36,9 +36,9 @@
 
 const std::string* RunningRequests::ParentOf(std::string_view name) const {
   for (size_t end = name.size(); end-- > 1;) {
-    const bool is_mark =
+    const bool is_separator =
         !absl::ascii_isalnum(static_cast<unsigned char>(name[end]));
-    if (!is_mark)
+    if (!is_separator)
       continue;
     const auto found = running_.find(base::AbslView(name.substr(0, end)));
     if (found != running_.end())
--- a/src/libs/traffic/running_requests.h
+++ b/src/libs/traffic/running_requests.h
@@ -1,9 +1,10 @@
-// What this node's server runs at the moment, by the names that callers gave
-// the requests. Shared by the gate thread, which writes it, and the ingress
-// thread, where the calls arrive that the server makes meanwhile.
+// The requests that this node's server runs at the moment, by the names that
+// callers gave them. Written by the gate thread, and read by the ingress
+// thread, which receives the calls that the server makes meanwhile.
 //
-// Servers name a call after the request that they make it for: the request's
-// name, a mark, and more. A call that is not named so is as any other request.
+// A server names a nested call after the request that it makes it for: the
+// request's name, a separator, and more. A call that is not named so is treated
+// as any other request.
 #ifndef TRAFFIC_RUNNING_REQUESTS_H_
 #define TRAFFIC_RUNNING_REQUESTS_H_
 
@@ -18,18 +19,19 @@
 
 class RunningRequests {
  public:
-  // The server got the request; an empty name is not kept.
+  // The request was sent to the server; an empty name is not recorded.
   void OnStarted(const std::string& name,
                  const std::string& traffic_class = {});
-  // Returns whether a call failed that the server made for the request.
+  // Returns whether a nested call of the request failed.
   bool OnEnded(const std::string& name);
 
-  // Whether the server makes the call `name` for a request that it runs.
+  // Returns whether `name` is a call that the server makes for a running
+  // request.
   bool IsNested(std::string_view name) const { return !!ClassOfParent(name); }
-  // The class of the request that the server makes the call for; nothing: it is
-  // no such call.
+  // Returns the class of the request that the call is made for, or nothing if
+  // it is not a nested call.
   std::optional<std::string> ClassOfParent(std::string_view name) const;
-  // The call `name` got no good answer.
+  // The call `name` failed.
   void OnCallFailed(std::string_view name);
 
  private:
@@ -38,7 +40,8 @@
     bool has_failed_call = false;
   };
 
-  // The request that the call is made for, if it is running. Needs the lock.
+  // Returns the running request that the call is made for, or null. Requires
+  // the lock.
   const std::string* ParentOf(std::string_view name) const;
 
   mutable std::mutex mutex_;
--- a/src/libs/traffic/traffic_recorder.h
+++ b/src/libs/traffic/traffic_recorder.h
@@ -1,5 +1,5 @@
-// Where a traffic thread tells how a request ended: counts it, and logs the
-// error that was given. Each traffic thread has one of its own.
+// Records how requests ended: updates the metrics and logs errors. Each traffic
+// thread has its own.
 #ifndef TRAFFIC_TRAFFIC_RECORDER_H_
 #define TRAFFIC_TRAFFIC_RECORDER_H_
 
@@ -10,7 +10,8 @@
 
 class TrafficRecorder {
  public:
-  // Series exist for declared names only. Cheap if the revision is the same.
+  // Metric series exist only for declared names. Cheap if the revision is
+  // unchanged.
   void SetConfiguration(const declarations::Configuration& configuration);
 
   void Record(const telemetry::CallRecord& record);
--- a/tests/auto/traffic/running_requests_test.cc
+++ b/tests/auto/traffic/running_requests_test.cc
@@ -1,4 +1,4 @@
-// Which requests are calls that the own server makes.
+// Which requests are calls that the own server makes for a running request.
 #include "traffic/running_requests.h"
 
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
     CHECK(running.IsNested("2489dd5a-1"));
     CHECK(running.IsNested("2489dd5a.6aba.7"));
   }
-  SECTION("and it is known how urgent the request above is") {
+  SECTION("and the class of its parent is known") {
     running.OnStarted("ab", "urgency-2");
     CHECK(running.ClassOfParent("ab.1") == "urgency-2");
     CHECK_FALSE(running.ClassOfParent("ac.1").has_value());
@@ -27,12 +27,12 @@
     CHECK_FALSE(running.IsNested(".2489dd5a"));
     CHECK_FALSE(running.IsNested(""));
   }
-  SECTION("its end tells whether a call of it failed") {
-    SECTION("which one did") {
+  SECTION("its end reports whether a nested call failed") {
+    SECTION("if one did") {
       running.OnCallFailed("2489dd5a.6aba");
       CHECK(running.OnEnded("2489dd5a"));
     }
-    SECTION("which none did") {
+    SECTION("if none did") {
       running.OnCallFailed("other.6aba");
       CHECK_FALSE(running.OnEnded("2489dd5a"));
     }
@@ -41,7 +41,7 @@
   }
 }
 
-TEST_CASE("a request without a name has no calls") {
+TEST_CASE("a request without a name has no nested calls") {
   RunningRequests running;
   running.OnStarted("");
   CHECK_FALSE(running.IsNested(".1"));
