--- a/tests/benchmarks/admission/bench_admission.cc
+++ b/tests/benchmarks/admission/bench_admission.cc
@@ -1,5 +1,5 @@
-// The admission policies under load, against simpler ones with the same seeds,
-// and what a decision costs.
+// Benchmarks the admission policies under load against simpler ones with the
+// same seeds, and the cost of a decision.
 #include <cstdio>
 #include <string>
 #include <vector>
@@ -26,7 +26,7 @@
   bool adaptive;
   bool shares;
   int slots;
-  bool told = false;
+  bool is_limit_known = false;
 };
 
 const std::vector<Policy> kPolicies = {
@@ -42,7 +42,8 @@
   options.slots = policy.slots;
   options.adaptive = policy.adaptive;
   options.shares.classes = {{"flood-watch", 1}, {"bulk", 2}};
-  return GateSimulation(options, policy.shares, policy.told, scenario).Run();
+  return GateSimulation(options, policy.shares, policy.is_limit_known, scenario)
+      .Run();
 }
 
 Scenario Load(std::vector<Source> sources) {
@@ -55,21 +56,23 @@
   return whole == 0 ? 0 : static_cast<double>(part) / whole;
 }
 
-// One firm's p99 while another's load is three times its own, to its p99
-// before.
-void AddRush(FigureReport& report, const Policy& policy, bool judged) {
+// Reports one tenant's p99 while another tenant sends three times its usual
+// load, relative to the p99 before.
+void AddTenantOverload(FigureReport& report,
+                       const Policy& policy,
+                       bool has_bound) {
   const auto with = [](double other_load) {
     return Load(
         {{"quiet-firm", "bulk", 0.2}, {"rush-firm", "bulk", other_load}});
   };
-  Fate before = Run(policy, with(0.4)).fates[0];
-  Fate during = Run(policy, with(1.2)).fates[0];
+  SourceStats before = Run(policy, with(0.4)).stats[0];
+  SourceStats during = Run(policy, with(1.2)).stats[0];
   const std::string row = "admission/rush/" + policy.name;
   Figure ratio{row + "/quiet-firm-p99-ratio",
                during.Quantile(0.99) / before.Quantile(0.99), "x"};
   Figure refused{row + "/quiet-firm-refused",
                  Share(during.refused, during.arrived), "share"};
-  if (judged) {
+  if (has_bound) {
     ratio.at_most = 1.1;
     refused.at_most = 0.001;
   }
@@ -77,19 +80,19 @@
   report.Add(refused);
 }
 
-void AddClasses(FigureReport& report, const Policy& policy, bool judged) {
+void AddClasses(FigureReport& report, const Policy& policy, bool has_bound) {
   const auto with = [](double bulk) {
     return Load({{"keeper", "flood-watch", 0.1}, {"keeper", "bulk", bulk}});
   };
-  Fate before = Run(policy, with(0.3)).fates[0];
+  SourceStats before = Run(policy, with(0.3)).stats[0];
   SimulationResult flood = Run(policy, with(2.0));
-  Fate& during = flood.fates[0];
+  SourceStats& during = flood.stats[0];
   const std::string row = "admission/bulk-refresh/" + policy.name;
   Figure ratio{row + "/flood-watch-p99-ratio",
                during.Quantile(0.99) / before.Quantile(0.99), "x"};
   Figure refused{row + "/flood-watch-refused",
                  Share(during.refused, during.arrived), "share"};
-  if (judged) {
+  if (has_bound) {
     ratio.at_most = 1.1;
     refused.at_most = 0.001;
   }
@@ -98,20 +101,20 @@
   report.Add({row + "/goodput", flood.goodput, "of capacity"});
 }
 
-void AddOverload(FigureReport& report, const Policy& policy, bool judged) {
+void AddOverload(FigureReport& report, const Policy& policy, bool has_bound) {
   const SimulationResult result =
       Run(policy, Load({{"firm", "bulk", 1.5, milliseconds(200)}}));
   Figure goodput{"admission/overload-1.5x/" + policy.name + "/goodput",
                  result.goodput, "of capacity"};
-  if (judged)
+  if (has_bound)
     goodput.at_least = 0.95;
   report.Add(goodput);
   report.Add({"admission/overload-1.5x/" + policy.name + "/late",
-              Share(result.fates[0].late, result.fates[0].arrived), "share"});
+              Share(result.stats[0].late, result.stats[0].arrived), "share"});
 }
 
 // A neighbour takes half of the slots for three of every six seconds.
-Scenario Neighbour() {
+Scenario NoisyNeighbour() {
   Scenario scenario = Load({{"keeper", "flood-watch", 0.1},
                             {"keeper", "bulk", 1.2, milliseconds(500)}});
   scenario.capacity = [](Duration since_start) {
@@ -121,8 +124,8 @@
   return scenario;
 }
 
-// All slots take three times as long for ten of every twenty seconds.
-Scenario Slower() {
+// All slots are three times slower for ten of every twenty seconds.
+Scenario SlowerSlots() {
   Scenario scenario = Load({{"keeper", "flood-watch", 0.05},
                             {"keeper", "bulk", 1.2, milliseconds(500)}});
   scenario.capacity = [](Duration since_start) {
@@ -132,17 +135,17 @@
   return scenario;
 }
 
-void AddShift(FigureReport& report,
-              const std::string& name,
-              const Scenario& scenario,
-              double capacity) {
+void AddCapacityChange(FigureReport& report,
+                       const std::string& name,
+                       const Scenario& scenario,
+                       double capacity) {
   const double fixed = Run(kPolicies[1], scenario).goodput;
   for (const Policy& policy : kPolicies) {
     SimulationResult result = Run(policy, scenario);
     const std::string row = "admission/" + name + "/" + policy.name;
     report.Add(
-        {row + "/flood-watch-p99", result.fates[0].Quantile(0.99), "ms"});
-    report.Add({row + "/flood-watch-p90", result.fates[0].Quantile(0.9), "ms"});
+        {row + "/flood-watch-p99", result.stats[0].Quantile(0.99), "ms"});
+    report.Add({row + "/flood-watch-p90", result.stats[0].Quantile(0.9), "ms"});
     Figure goodput{row + "/goodput", result.goodput / capacity,
                    "of what is left"};
     if (&policy == &kPolicies[0])
@@ -173,13 +176,13 @@
   absl::ParseCommandLine(argc, argv);
   FigureReport report;
   for (const Policy& policy : kPolicies) {
-    const bool judged = &policy == &kPolicies[0];
-    AddRush(report, policy, judged);
-    AddClasses(report, policy, judged);
-    AddOverload(report, policy, judged);
+    const bool has_bound = &policy == &kPolicies[0];
+    AddTenantOverload(report, policy, has_bound);
+    AddClasses(report, policy, has_bound);
+    AddOverload(report, policy, has_bound);
   }
-  AddShift(report, "neighbour", Neighbour(), 0.75);
-  AddShift(report, "slower", Slower(), 2.0 / 3);
+  AddCapacityChange(report, "neighbour", NoisyNeighbour(), 0.75);
+  AddCapacityChange(report, "slower", SlowerSlots(), 2.0 / 3);
   AddDecisionCost(report);
   report.Print();
   if (!absl::GetFlag(FLAGS_results).empty())
--- a/tests/benchmarks/admission/decision_cost.cc
+++ b/tests/benchmarks/admission/decision_cost.cc
@@ -40,7 +40,7 @@
 constexpr uint64_t kRounds = 200000;
 constexpr std::chrono::microseconds kStep(100);
 
-// One request ends and one arrives in each round.
+// In each round one request ends and one arrives.
 class Rounds {
  public:
   explicit Rounds(int queued) : admission_(Options(queued)) {
@@ -72,16 +72,16 @@
   void Arrive() {
     const AttemptId id{1, ++last_};
     const auto& tenant = tenants_[last_ % kTenants];
-    See(admission_.Arrive({id, tenant, "", now_ + std::chrono::hours(1)},
-                          now_));
+    RecordStarts(admission_.Arrive(
+        {id, tenant, "", now_ + std::chrono::hours(1)}, now_));
   }
 
   void Finish() {
     const AttemptId id = running_[first_running_++ % running_.size()];
-    See(admission_.Finish(id, now_));
+    RecordStarts(admission_.Finish(id, now_));
   }
 
-  void See(const admission::AdmissionActions& actions) {
+  void RecordStarts(const admission::AdmissionActions& actions) {
     for (const auto& action : actions)
       running_[next_running_++ % running_.size()] = action.attempt;
   }
--- a/tests/benchmarks/admission/gate_simulation.cc
+++ b/tests/benchmarks/admission/gate_simulation.cc
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-double Fate::Quantile(double q) {
+double SourceStats::Quantile(double q) {
   if (latencies.empty())
     return 0;
   std::ranges::sort(latencies);
@@ -35,34 +35,34 @@
 
 GateSimulation::GateSimulation(const admission::AdmissionOptions& options,
                                bool shares,
-                               bool told,
+                               bool is_limit_known,
                                const Scenario& scenario)
     : scenario_(scenario),
       options_(options),
       shares_(shares),
-      told_(told),
+      is_limit_known_(is_limit_known),
       admission_(options),
       random_(scenario.seed),
-      fates_(scenario.sources.size()) {}
+      stats_(scenario.sources.size()) {}
 
 SimulationResult GateSimulation::Run() {
   for (size_t i = 0; i < scenario_.sources.size(); ++i)
     ScheduleArrival(i);
   Tick();
   while (events_.top().at < start_ + scenario_.length) {
-    const Timed next = events_.top();
+    const TimedEvent next = events_.top();
     events_.pop();
     now_ = next.at;
     next.act();
   }
   SimulationResult result;
   int in_time = 0;
-  for (const Fate& fate : fates_)
-    in_time += fate.in_time;
+  for (const SourceStats& stats : stats_)
+    in_time += stats.in_time;
   const double most = Seconds(scenario_.length).count() * kSlots / kMeanSeconds;
   result.goodput = in_time / most;
   result.mean_limit = limit_sum_ / ticks_;
-  result.fates = std::move(fates_);
+  result.stats = std::move(stats_);
   return result;
 }
 
@@ -83,7 +83,7 @@
   const Source& from = scenario_.sources[source];
   const AttemptId id{1, ++last_};
   requests_[id] = {source, now_, now_ + from.deadline};
-  ++fates_[source].arrived;
+  ++stats_[source].arrived;
   Perform(admission_.Arrive(
       {id, shares_ ? from.tenant : "", shares_ ? from.traffic_class : "",
        now_ + from.deadline},
@@ -91,7 +91,7 @@
 }
 
 void GateSimulation::Tick() {
-  if (told_) {
+  if (is_limit_known_) {
     options_.slots = CapacityNow().usable_slots;
     admission_.set_options(options_);
   }
@@ -104,20 +104,20 @@
 void GateSimulation::Perform(const admission::AdmissionActions& actions) {
   for (const admission::AdmissionAction& action : actions) {
     if (action.kind == admission::ActionKind::kStart) {
-      inside_.push(action.attempt);
+      queued_inside_.push(action.attempt);
       continue;
     }
-    ++fates_[requests_[action.attempt].source].refused;
+    ++stats_[requests_[action.attempt].source].refused;
     requests_.erase(action.attempt);
   }
-  RunInside();
+  StartInsideServer();
 }
 
-void GateSimulation::RunInside() {
+void GateSimulation::StartInsideServer() {
   const Capacity capacity = CapacityNow();
-  while (!inside_.empty() && running_ < capacity.usable_slots) {
-    const AttemptId id = inside_.front();
-    inside_.pop();
+  while (!queued_inside_.empty() && running_ < capacity.usable_slots) {
+    const AttemptId id = queued_inside_.front();
+    queued_inside_.pop();
     ++running_;
     const double median = kMeanSeconds / std::exp(kSpread * kSpread / 2);
     std::lognormal_distribution<double> time(std::log(median), kSpread);
@@ -130,9 +130,9 @@
   --running_;
   const Request request = requests_[id];
   requests_.erase(id);
-  Fate& fate = fates_[request.source];
-  fate.latencies.push_back(Seconds(now_ - request.arrived).count() * 1000);
-  ++(now_ <= request.deadline ? fate.in_time : fate.late);
+  SourceStats& stats = stats_[request.source];
+  stats.latencies.push_back(Seconds(now_ - request.arrived).count() * 1000);
+  ++(now_ <= request.deadline ? stats.in_time : stats.late);
   Perform(admission_.Finish(id, now_, admission::ServerResult::kAnswered));
 }
 
--- a/tests/benchmarks/admission/gate_simulation.h
+++ b/tests/benchmarks/admission/gate_simulation.h
@@ -1,5 +1,5 @@
-// The shipped admission decisions in front of one fake server, in virtual
-// time: seeded, so that its figures repeat to the digit.
+// Simulates the admission decisions of the product in front of one fake server,
+// in virtual time. Seeded, so results are reproducible.
 #ifndef ADMISSION_GATE_SIMULATION_H_
 #define ADMISSION_GATE_SIMULATION_H_
 
@@ -14,18 +14,18 @@
 
 namespace chestnutport::bench {
 
-// Requests of one kind, arriving at random.
+// Requests of one kind that arrive at random times.
 struct Source {
   std::string tenant;
   std::string traffic_class;
-  double load = 0;  // Share of the capacity of all slots.
+  double load = 0;  // Relative to the capacity of all slots.
   base::Duration deadline = std::chrono::seconds(1);
 };
 
-// What the server can do at a time since the start.
+// Capacity of the server at a time.
 struct Capacity {
   int usable_slots = 12;
-  double slowness = 1;  // Of each slot.
+  double slowness = 1;  // Factor on the service time of each slot.
 };
 
 struct Scenario {
@@ -37,9 +37,9 @@
   uint64_t seed = 1;
 };
 
-// How the requests of one source fared.
-struct Fate {
-  std::vector<double> latencies;  // Of the answered, in milliseconds.
+// Results of one source.
+struct SourceStats {
+  std::vector<double> latencies;  // Of answered requests, in milliseconds.
   int arrived = 0;
   int in_time = 0;
   int refused = 0;
@@ -49,18 +49,19 @@
 };
 
 struct SimulationResult {
-  std::vector<Fate> fates;  // By source.
-  double goodput = 0;       // Answered in time, to all slots' capacity.
+  std::vector<SourceStats> stats;  // By source.
+  double goodput =
+      0;  // Answers in time, relative to the capacity of all slots.
   double mean_limit = 0;
 };
 
 class GateSimulation {
  public:
-  // Without `shares` all requests are of one tenant and one class. With
-  // `told` the limit is what the server can use at each time.
+  // Without `shares` all requests belong to one tenant and one class. With
+  // `is_limit_known` the limit is the usable capacity at each time.
   GateSimulation(const admission::AdmissionOptions& options,
                  bool shares,
-                 bool told,
+                 bool is_limit_known,
                  const Scenario& scenario);
 
   SimulationResult Run();
@@ -71,10 +72,10 @@
     base::Instant arrived;
     base::Instant deadline;
   };
-  struct Timed {
+  struct TimedEvent {
     base::Instant at;
     std::function<void()> act;
-    bool operator>(const Timed& other) const { return at > other.at; }
+    bool operator>(const TimedEvent& other) const { return at > other.at; }
   };
 
   void At(base::Instant when, std::function<void()> act);
@@ -82,26 +83,28 @@
   void Arrive(size_t source);
   void Tick();
   void Perform(const admission::AdmissionActions& actions);
-  void RunInside();
+  void StartInsideServer();
   void End(const base::AttemptId& id);
   Capacity CapacityNow() const;
 
   Scenario scenario_;
   admission::AdmissionOptions options_;
   bool shares_;
-  bool told_;
+  bool is_limit_known_;
   admission::AdmissionController admission_;
   base::Random random_;
   base::Instant start_{std::chrono::hours(1)};
   base::Instant now_ = start_;
-  std::priority_queue<Timed, std::vector<Timed>, std::greater<>> events_;
+  std::priority_queue<TimedEvent, std::vector<TimedEvent>, std::greater<>>
+      events_;
   std::map<base::AttemptId, Request> requests_;
-  std::queue<base::AttemptId> inside_;  // Given to the server, not running.
+  std::queue<base::AttemptId>
+      queued_inside_;  // Sent to the server, but not running.
   int running_ = 0;
   uint64_t last_ = 0;
   double limit_sum_ = 0;
   int ticks_ = 0;
-  std::vector<Fate> fates_;
+  std::vector<SourceStats> stats_;
 };
 
 }  // namespace chestnutport::bench
