--- a/src/libs/gate/gate.h
+++ b/src/libs/gate/gate.h
@@ -75,7 +75,8 @@
   size_t in_flight() const { return attempts_.size(); }
 
  private:
-  // gate_admission.cc: checks and admits the attempts that other nodes send.
+  // gate_admission.cc and gate.cc: checking and admitting the attempts of other
+  // nodes, and answering those nodes.
   void OnRequest(net::HttpRequest request, net::Reply reply);
   bool IsAuthorized(const wire::PeerRequestHead& head,
                     const net::HttpHeaders& headers) const;
@@ -179,7 +180,7 @@
   std::unique_ptr<net::HttpServer> listener_;
   absl::flat_hash_map<base::AttemptId, std::unique_ptr<GateAttempt>> attempts_;
   std::function<void()> on_empty_;
-  // The event that the draining server has no requests left.
+  // Whether the event was logged that the draining server has no requests left.
   bool is_empty_logged_ = false;
   net::EventLoop::TimerId ticker_ = 0;
 };
