--- a/src/libs/admission/admission_controller.cc
+++ b/src/libs/admission/admission_controller.cc
@@ -12,16 +12,17 @@
 
 namespace {
 
-// Zero would say that coming back does not help.
-constexpr Duration kLeastWait = std::chrono::milliseconds(1);
-// Of the time to the target, so many times the usual work is kept free of
-// waiting: a third of the requests takes more than the usual work, and a VM
-// may slow down while one runs. At a cold server the wait is for its rate and
-// well known, and there is no better place to go: then once is enough.
-constexpr int kWorkKept = 2;
-// What is started has this part of its usual work more left until its deadline:
-// the work of one request in five takes longer than that.
-constexpr int kSpreadPart = 4;
+// A Retry-After of zero would tell the caller that a retry is pointless.
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(1);
+// An attempt is refused on arrival if less than this multiple of its mean
+// service time would remain between its start and its target. A third of the
+// requests take longer than the mean, and a VM may slow down during one. At a
+// cold server the wait is set by the rate limit and well known, and no other
+// server is better: a factor of 1 is enough there.
+constexpr int kTargetHeadroomFactor = 2;
+// The time left until the deadline at the start must exceed the recent service
+// time by one part in this many: one request in five takes longer than that.
+constexpr int kServiceTimeMarginDivisor = 4;
 
 }  // namespace
 
@@ -30,14 +31,14 @@
       ledger_(options.ledger),
       queue_(options.shares),
       limit_(options.slots),
-      cold_(options.cold) {
-  limit_.set_cold_ramp(options.cold_start);
+      cold_limiter_(options.cold) {
+  limit_.set_warm_up_time(options.cold_start);
 }
 
 void AdmissionController::set_options(const AdmissionOptions& options) {
   limit_.SetSlots(options.slots);
-  limit_.set_cold_ramp(options.cold_start);
-  cold_.set_options(options.cold);
+  limit_.set_warm_up_time(options.cold_start);
+  cold_limiter_.set_options(options.cold);
   if (options.shares != options_.shares)
     queue_.SetShares(options.shares);
   options_ = options;
@@ -52,49 +53,50 @@
   if (known != AttemptState::kUnknown || !ledger_.IsNew(attempt, now))
     return {{ActionKind::kRefuse, attempt, ErrorKind::kDuplicateAttempt, {}}};
   const QueuedAttempt waiting{
-      attempt, queue_.Flow(arrival.traffic_class, arrival.tenant),
+      attempt, queue_.FlowFor(arrival.traffic_class, arrival.tenant),
       arrival.deadline, arrival.target, arrival.may_stop};
-  if (const auto refusal = RefusalOf(waiting, now))
+  if (const auto refusal = FindRefusal(waiting, now))
     return {Refuse(attempt, *refusal, now)};
-  if (HasRoomFor(waiting.flow, now))
+  if (HasCapacityFor(waiting.flow, now))
     return {Start(waiting, now)};
   return Enqueue(waiting, now);
 }
 
-std::optional<AdmissionAction> AdmissionController::Judge(
+std::optional<AdmissionAction> AdmissionController::CheckRefusal(
     const Arrival& arrival,
     Instant now) {
   const QueuedAttempt waiting{
-      arrival.attempt, queue_.Flow(arrival.traffic_class, arrival.tenant),
+      arrival.attempt, queue_.FlowFor(arrival.traffic_class, arrival.tenant),
       arrival.deadline, arrival.target, arrival.may_stop};
-  const auto refusal = RefusalOf(waiting, now);
+  const auto refusal = FindRefusal(waiting, now);
   if (!refusal)
     return std::nullopt;
   return AdmissionAction{ActionKind::kRefuse, arrival.attempt, *refusal,
                          RetryAfter(*refusal, now)};
 }
 
-std::optional<ErrorKind> AdmissionController::RefusalOf(
+std::optional<ErrorKind> AdmissionController::FindRefusal(
     const QueuedAttempt& waiting,
     Instant now) const {
   if (draining_)
     return ErrorKind::kDraining;
   if (waiting.deadline <= now)
     return ErrorKind::kDeadlineTooClose;
-  if (HasRoomFor(waiting.flow, now))
+  if (HasCapacityFor(waiting.flow, now))
     return std::nullopt;
-  const bool is_limited = cold_.IsLimited(now);
-  if (waiting.target && !KnowsServiceTime() && !is_limited)
+  const bool is_limited = cold_limiter_.IsLimited(now);
+  if (waiting.target && !HasServiceTimeEstimate() && !is_limited)
     return ErrorKind::kOverloaded;
-  const Duration wait = DrainTime(queue_.Ahead(waiting.flow) + 1,
-                                  queue_.RankOf(waiting.flow), now);
-  if (!HasTimeFor(waiting, now + wait))
+  const Duration wait = EstimateWait(queue_.RequestsAhead(waiting.flow) + 1,
+                                     queue_.RankOf(waiting.flow), now);
+  if (!CanMeetDeadline(waiting, now + wait))
     return ErrorKind::kDeadlineTooClose;
-  // What would be served late only makes others late: it is told at once, and
-  // its caller may come back when there is room.
-  const int work_kept = is_limited ? 1 : kWorkKept;
+  // An attempt that would be served late delays others. It is refused at once,
+  // and the caller may retry when there is capacity.
+  const int headroom_factor = is_limited ? 1 : kTargetHeadroomFactor;
   if (waiting.target &&
-      now + wait + work_kept * UsualWork(waiting.flow) > *waiting.target)
+      now + wait + headroom_factor * ExpectedServiceTime(waiting.flow) >
+          *waiting.target)
     return ErrorKind::kOverloaded;
   return std::nullopt;
 }
@@ -113,7 +115,7 @@
   const Running ended = found->second;
   const int in_flight = static_cast<int>(running_.size());
   running_.erase(found);
-  progress_at_ = now;
+  last_progress_at_ = now;
   const bool ran =
       result == ServerResult::kAnswered || result == ServerResult::kUncertain;
   ledger_.Set(attempt, ran ? AttemptState::kFinished : AttemptState::kNeverRuns,
@@ -125,7 +127,7 @@
     limit_.OnShed(in_flight, now);
   }
   AdmissionActions actions;
-  StartWaiting(actions, now);
+  StartQueued(actions, now);
   return actions;
 }
 
@@ -153,7 +155,7 @@
     actions.push_back(
         Refuse(expired->attempt, ErrorKind::kDeadlineTooClose, now));
   }
-  StartWaiting(actions, now);
+  StartQueued(actions, now);
   ledger_.Expire(now);
   return actions;
 }
@@ -167,8 +169,8 @@
 }
 
 void AdmissionController::OnServerStarted(Instant now) {
-  limit_.StartCold(now);
-  cold_.OnServerStarted(now);
+  limit_.StartWarmUp(now);
+  cold_limiter_.OnServerStarted(now);
 }
 
 wire::LoadReport AdmissionController::Load(Instant now) const {
@@ -176,7 +178,7 @@
   wire::LoadReport report{
       static_cast<int>(running_.size()), Limit(now), queued, {}};
   if (queued > 0 || !MayStart(0, now))
-    report.expected_wait = DrainTime(queued + 1, 0, now);
+    report.expected_wait = EstimateWait(queued + 1, 0, now);
   return report;
 }
 
@@ -190,19 +192,19 @@
 Duration AdmissionController::RetryAfter(ErrorKind error, Instant now) const {
   const bool is_full =
       error == ErrorKind::kOverloaded || error == ErrorKind::kDeadlineTooClose;
-  if (is_full && (KnowsServiceTime() || cold_.IsLimited(now)))
-    return std::max(DrainTime(Queued() + 1, 0, now), kLeastWait);
+  if (is_full && (HasServiceTimeEstimate() || cold_limiter_.IsLimited(now)))
+    return std::max(EstimateWait(Queued() + 1, 0, now), kMinRetryAfter);
   return base::AnswerTo(error).retry_after;
 }
 
 AdmissionAction AdmissionController::Start(const QueuedAttempt& attempt,
                                            Instant now) {
   ledger_.Set(attempt.attempt, AttemptState::kRunning, now);
-  progress_at_ = now;
+  last_progress_at_ = now;
   Running& running = running_[attempt.attempt];
   running = {attempt.flow, now, attempt.deadline, false};
   running.at_limit = !HasFreeSlot(now);
-  cold_.OnStarted(now);
+  cold_limiter_.ConsumeToken(now);
   return {ActionKind::kStart, attempt.attempt, ErrorKind::kInternal, {}};
 }
 
@@ -216,15 +218,15 @@
   return {Refuse(least_fair->attempt, ErrorKind::kOverloaded, now)};
 }
 
-void AdmissionController::StartWaiting(AdmissionActions& actions, Instant now) {
+void AdmissionController::StartQueued(AdmissionActions& actions, Instant now) {
   while (queue_.size() > 0 && HasFreeSlot(now)) {
-    const auto next = queue_.Pop(cold_.RankAllowed(now));
+    const auto next = queue_.Pop(cold_limiter_.LeastUrgentRankAllowed(now));
     if (!next)
       return;
-    // Others that wait can still be served in time.
+    // Past its target, but other queued attempts can still be served in time.
     const bool is_late = next->target && queue_.size() > 0 &&
-                         now + UsualWork(next->flow) > *next->target;
-    if (!HasTimeFor(*next, now) || is_late) {
+                         now + ExpectedServiceTime(next->flow) > *next->target;
+    if (!CanMeetDeadline(*next, now) || is_late) {
       actions.push_back(
           Refuse(next->attempt, ErrorKind::kDeadlineTooClose, now));
     } else {
@@ -234,13 +236,14 @@
 }
 
 bool AdmissionController::MayStart(int rank, Instant now) const {
-  return HasFreeSlot(now) && cold_.MayStart(rank, now);
+  return HasFreeSlot(now) && cold_limiter_.MayStart(rank, now);
 }
 
-bool AdmissionController::HasRoomFor(FlowId flow, Instant now) const {
+bool AdmissionController::HasCapacityFor(FlowId flow, Instant now) const {
   const int rank = queue_.RankOf(flow);
-  const bool is_next =
-      cold_.IsLimited(now) ? !queue_.HasUpTo(rank) : queue_.size() == 0;
+  const bool is_next = cold_limiter_.IsLimited(now)
+                           ? !queue_.HasQueuedUpTo(rank)
+                           : queue_.size() == 0;
   return is_next && MayStart(rank, now);
 }
 
@@ -252,33 +255,35 @@
   return options_.adaptive ? limit_.Limit(now) : options_.slots;
 }
 
-Duration AdmissionController::UsualWork(FlowId flow) const {
-  return queue_.ServiceTime(flow).value_or(limit_.service_time());
+Duration AdmissionController::ExpectedServiceTime(FlowId flow) const {
+  return queue_.MeanServiceTime(flow).value_or(limit_.service_time());
 }
 
-bool AdmissionController::HasTimeFor(const QueuedAttempt& attempt,
-                                     Instant start) const {
+bool AdmissionController::CanMeetDeadline(const QueuedAttempt& attempt,
+                                          Instant start) const {
   if (start >= attempt.deadline || attempt.may_stop)
     return start < attempt.deadline;
   const Duration work =
       queue_.RecentServiceTime(attempt.flow).value_or(limit_.service_time());
-  return start + work + work / kSpreadPart <= attempt.deadline;
+  return start + work + work / kServiceTimeMarginDivisor <= attempt.deadline;
 }
 
-bool AdmissionController::KnowsServiceTime() const {
+bool AdmissionController::HasServiceTimeEstimate() const {
   return limit_.served() >= options_.slots;
 }
 
-Duration AdmissionController::DrainTime(double requests,
-                                        int rank,
-                                        Instant now) const {
+Duration AdmissionController::EstimateWait(double requests,
+                                           int rank,
+                                           Instant now) const {
   const auto each = std::chrono::duration<double>(limit_.service_time());
   const auto expected =
       std::chrono::duration_cast<Duration>(each * requests / Limit(now));
-  // A server on which nothing moved for a while may need as long again.
+  // If the server has made no progress for some time, it may take as long
+  // again.
   const Duration stuck =
-      HasFreeSlot(now) ? Duration() : Duration(now - progress_at_);
-  return std::max({expected, stuck, cold_.Wait(requests, rank, now)});
+      HasFreeSlot(now) ? Duration() : Duration(now - last_progress_at_);
+  return std::max(
+      {expected, stuck, cold_limiter_.TimeUntilAllowed(requests, rank, now)});
 }
 
 }  // namespace chestnutport::admission
--- /dev/null
+++ b/src/libs/admission/cold_start_limiter.cc
@@ -0,0 +1,134 @@
+#include "admission/cold_start_limiter.h"
+
+#include <algorithm>
+
+namespace chestnutport::admission {
+
+using base::Duration;
+using base::Instant;
+using Seconds = std::chrono::duration<double>;
+
+namespace {
+
+// How long a server is assumed cold unless its health check, which runs several
+// times a second, reports earlier.
+constexpr std::chrono::seconds kAssumedColdTime{3};
+// The longest delay between the decision and the arrival at the server on a
+// busy VM. Requests decided on within more than a second may therefore reach
+// the server within one second.
+constexpr std::chrono::milliseconds kMaxSendDelay{100};
+// The health check that discovers a server is sent before its gate counts.
+constexpr double kUncountedRequests = 1;
+// Tolerance for floating-point rounding when tokens are compared.
+constexpr double kRoundingTolerance = 1e-6;
+// Minimum rate, so that a server that tolerates almost nothing is still tried.
+constexpr double kMinRate = 0.5;
+
+// Reduces the declared limits so that no second, as counted by the server,
+// holds more requests than declared.
+ColdStartOptions WithMargin(const ColdStartOptions& declared) {
+  ColdStartOptions kept = declared;
+  const double late = Seconds(kMaxSendDelay).count();
+  kept.burst = declared.burst - kUncountedRequests - declared.rate * late;
+  if (kept.burst >= 1 || declared.rate <= 0)
+    return kept;
+  kept.burst = 1;
+  const double in_a_second = declared.rate + declared.burst;
+  kept.rate =
+      std::max(kMinRate, (in_a_second - kUncountedRequests - 1) / (1 + late));
+  return kept;
+}
+
+}  // namespace
+
+void ColdStartLimiter::set_options(const ColdStartOptions& options) {
+  options_ = WithMargin(options);
+  tokens_ = std::min(tokens_, std::max(1.0, options_.burst));
+}
+
+void ColdStartLimiter::OnServerStarted(Instant now) {
+  cold_until_ = now + options_.after_start;
+  reported_at_ = {};
+  is_assumed_ = true;
+  tokens_ = std::max(1.0, options_.burst);
+  tokens_updated_at_ = now;
+}
+
+void ColdStartLimiter::OnReported(Duration remaining, Instant reported_at) {
+  if (reported_at < reported_at_)
+    return;
+  reported_at_ = reported_at;
+  is_assumed_ = false;
+  cold_until_ = reported_at + std::max(remaining, Duration());
+}
+
+void ColdStartLimiter::OnHealthyWithoutReport(Instant now) {
+  if (is_assumed_)
+    OnReported({}, now);
+}
+
+void ColdStartLimiter::AssumeCold(Instant now) {
+  if (!IsCold(now))
+    is_assumed_ = true;
+  reported_at_ = now;
+  cold_until_ = std::max<Instant>(cold_until_, now + kAssumedColdTime);
+}
+
+bool ColdStartLimiter::IsCold(Instant now) const {
+  return now < cold_until_;
+}
+
+bool ColdStartLimiter::IsLimited(Instant now) const {
+  return options_.rate > 0 && IsCold(now);
+}
+
+bool ColdStartLimiter::IsOverRateLimit(Instant now) const {
+  return IsLimited(now) && TokensAt(now) < 0;
+}
+
+double ColdStartLimiter::TokensAt(Instant now) const {
+  const double earned =
+      Seconds(std::max<Duration>(now - tokens_updated_at_, Duration()))
+          .count() *
+      options_.rate;
+  return std::min(tokens_ + earned, std::max(1.0, options_.burst));
+}
+
+double ColdStartLimiter::ReservedTokens(int rank) const {
+  return std::max(0.0, options_.burst - 1) *
+         std::clamp(rank, 0, kRankCount - 1) / kRankCount;
+}
+
+int ColdStartLimiter::LeastUrgentRankAllowed(Instant now) const {
+  int rank = kRankCount - 1;
+  while (rank >= 0 && !MayStart(rank, now))
+    --rank;
+  return rank;
+}
+
+Duration ColdStartLimiter::TimeUntilAllowed(double requests,
+                                            int rank,
+                                            Instant now) const {
+  if (!IsLimited(now))
+    return {};
+  const double missing =
+      requests + ReservedTokens(rank) - TokensAt(now) - kRoundingTolerance;
+  if (missing <= 0)
+    return {};
+  const auto wait =
+      std::chrono::ceil<Duration>(Seconds(missing / options_.rate));
+  // The wait ends with the cold state: a warm server needs no tokens.
+  return std::min<Duration>(wait, cold_until_ - now);
+}
+
+void ColdStartLimiter::ConsumeToken(Instant now) {
+  if (options_.rate <= 0)
+    return;
+  // While the server is warm, the debt is limited to the requests of one
+  // second, which count if the server reports now that it is cold.
+  const double least = std::min(0.0, options_.burst - options_.rate);
+  tokens_ = std::max(TokensAt(now) - 1, least);
+  tokens_updated_at_ = now;
+}
+
+}  // namespace chestnutport::admission
--- a/src/libs/admission/fair_queue.cc
+++ b/src/libs/admission/fair_queue.cc
@@ -12,14 +12,15 @@
 using base::Duration;
 using base::Instant;
 
-constexpr size_t kMostFlows = 256;
-constexpr double kClassRatio = 8;  // Weight of a class to the next.
-constexpr double kUnknownCost = 0.001;
+constexpr size_t kMaxFlows = 256;
+// Weight of a class relative to the next one.
+constexpr double kClassRatio = 8;
+constexpr double kDefaultCost = 0.001;
 
-// Shared by the tenants beyond the most flows.
+// The flow shared by all tenants above kMaxFlows.
 constexpr char kOtherTenants[] = "";
 
-// From the most urgent class on, with their weights.
+// Returns the classes with their ranks and weights, the most urgent first.
 template <typename ClassState>
 std::vector<ClassState> MakeClasses(std::vector<ClassUrgency> declared) {
   if (declared.empty())
@@ -29,16 +30,16 @@
   int rank = 0;
   for (size_t i = 0; i < declared.size(); ++i) {
     if (i > 0 && declared[i].urgency != declared[i - 1].urgency)
-      rank = std::min(rank + 1, FairQueue::kLeastUrgent);
+      rank = std::min(rank + 1, FairQueue::kLeastUrgentRank);
     classes[i].name = declared[i].name;
     classes[i].rank = rank;
-    for (int step = rank; step < FairQueue::kLeastUrgent; ++step)
+    for (int step = rank; step < FairQueue::kLeastUrgentRank; ++step)
       classes[i].tag.weight *= kClassRatio;
   }
   return classes;
 }
 
-// Nothing for zero, which no request takes.
+// Returns nothing for zero, which means that there is no sample.
 std::optional<Duration> ToDuration(double seconds) {
   if (seconds == 0)
     return std::nullopt;
@@ -69,14 +70,14 @@
   virtual_time_ = 0;
 }
 
-FlowId FairQueue::Flow(std::string_view traffic_class,
-                       std::string_view tenant) {
+FlowId FairQueue::FlowFor(std::string_view traffic_class,
+                          std::string_view tenant) {
   const size_t index = ClassIndex(traffic_class);
   const auto& known = classes_[index].by_tenant;
   const auto found = known.find(base::AbslView(tenant));
   if (found != known.end())
     return found->second;
-  if (flows_.size() < kMostFlows)
+  if (flows_.size() < kMaxFlows)
     return AddFlow(index, tenant);
   const auto others = known.find(kOtherTenants);
   return others != known.end() ? others->second : AddFlow(index, kOtherTenants);
@@ -97,10 +98,10 @@
   ++size_;
 }
 
-std::optional<QueuedAttempt> FairQueue::Pop(int most_rank) {
+std::optional<QueuedAttempt> FairQueue::Pop(int max_rank) {
   ClassState* first = nullptr;
   for (ClassState& candidate : classes_) {
-    if (!candidate.active.empty() && candidate.rank <= most_rank &&
+    if (!candidate.active.empty() && candidate.rank <= max_rank &&
         (!first || candidate.tag.start < first->tag.start)) {
       first = &candidate;
     }
@@ -170,7 +171,7 @@
   mean_cost_.Add(seconds);
 }
 
-std::optional<Duration> FairQueue::ServiceTime(FlowId id) const {
+std::optional<Duration> FairQueue::MeanServiceTime(FlowId id) const {
   return ToDuration(flows_[id].cost.mean());
 }
 
@@ -178,7 +179,7 @@
   return ToDuration(flows_[id].recent.mean());
 }
 
-double FairQueue::Ahead(FlowId id) const {
+double FairQueue::RequestsAhead(FlowId id) const {
   const FlowState& flow = flows_[id];
   const auto own = static_cast<double>(flow.waiting.size());
   const double turns_for_weight = (own + 1) / Weight(flow);
@@ -199,7 +200,7 @@
   return classes_[flows_[flow].traffic_class].rank;
 }
 
-bool FairQueue::HasUpTo(int rank) const {
+bool FairQueue::HasQueuedUpTo(int rank) const {
   return std::ranges::any_of(classes_, [rank](const ClassState& waiting) {
     return waiting.rank <= rank && !waiting.active.empty();
   });
@@ -231,7 +232,7 @@
 double FairQueue::Cost(const FlowState& flow) const {
   if (flow.cost.mean() > 0)
     return flow.cost.mean();
-  return mean_cost_.mean() > 0 ? mean_cost_.mean() : kUnknownCost;
+  return mean_cost_.mean() > 0 ? mean_cost_.mean() : kDefaultCost;
 }
 
 double FairQueue::Weight(const FlowState& flow) const {
--- a/src/libs/admission/probe_scheduler.cc
+++ b/src/libs/admission/probe_scheduler.cc
@@ -8,63 +8,67 @@
 using base::Duration;
 using base::Instant;
 
-// A probe that could not take even this long would tell nothing.
-constexpr Duration kLeastTime = std::chrono::milliseconds(10);
-constexpr Duration kMostTime = std::chrono::milliseconds(50);
-// The longest that a request waits for a probe: a fifth of the shortest target
-// that the users declare, 100 ms, and several times what a server takes that is
-// well.
-constexpr Duration kMostLookTime = std::chrono::milliseconds(20);
-// So long a server without an answer counts as slow: half a usual spell.
-constexpr Duration kSilenceHolds = std::chrono::milliseconds(150);
+// A probe with a shorter time limit would give no information.
+constexpr Duration kMinProbeTime = std::chrono::milliseconds(10);
+constexpr Duration kMaxProbeTime = std::chrono::milliseconds(50);
+// Longest time that a request waits for a probe: a fifth of the shortest target
+// in use, 100 ms, and several times the response time of a healthy server.
+constexpr Duration kMaxOnDemandTime = std::chrono::milliseconds(20);
+// How long a server is considered slow after a probe without an answer: half
+// the usual length of a slow period.
+constexpr Duration kUnresponsiveTime = std::chrono::milliseconds(150);
 
 }  // namespace
 
-std::optional<Duration> ProbeScheduler::Begin(Instant now) {
+std::optional<Duration> ProbeScheduler::StartIfDue(Instant now) {
   if (running_ || now < last_answer_ + options_.quiet ||
       now < last_probe_ + options_.quiet) {
     return std::nullopt;
   }
-  return Pay(kMostTime, now);
+  return ReserveBudget(kMaxProbeTime, now);
 }
 
 bool ProbeScheduler::IsStale(Instant now) const {
-  return options_.stale > Duration::zero() && now >= silent_until_ &&
+  return options_.stale > Duration::zero() &&
+         now >= known_unresponsive_until_ &&
          now >= last_answer_ + options_.stale;
 }
 
-std::optional<Duration> ProbeScheduler::BeginLook(Instant now) {
-  return running_ ? std::nullopt : Pay(kMostLookTime, now);
+std::optional<Duration> ProbeScheduler::StartOnDemand(Instant now) {
+  return running_ ? std::nullopt : ReserveBudget(kMaxOnDemandTime, now);
 }
 
-std::optional<Duration> ProbeScheduler::Pay(Duration longest, Instant now) {
-  while (!payments_.empty() && payments_.front().begun + kProbeWindow <= now)
-    payments_.pop_front();
-  const Duration window = std::min<Duration>(kProbeWindow, now - began_);
+std::optional<Duration> ProbeScheduler::ReserveBudget(Duration longest,
+                                                      Instant now) {
+  while (!budget_uses_.empty() &&
+         budget_uses_.front().begun + kProbeBudgetWindow <= now)
+    budget_uses_.pop_front();
+  const Duration window =
+      std::min<Duration>(kProbeBudgetWindow, now - started_at_);
   Duration left = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(window) * options_.budget);
-  for (const Payment& payment : payments_)
+  for (const BudgetUse& payment : budget_uses_)
     left -= payment.cost;
-  if (left < kLeastTime)
+  if (left < kMinProbeTime)
     return std::nullopt;
-  const Duration most = std::min<Duration>(left, longest);
-  payments_.push_back({now, most});
+  const Duration time_limit = std::min<Duration>(left, longest);
+  budget_uses_.push_back({now, time_limit});
   last_probe_ = now;
   running_ = true;
   ++probes_;
-  return most;
+  return time_limit;
 }
 
 void ProbeScheduler::End(Duration cost, bool answered, Instant now) {
   if (!running_)
     return;
   running_ = false;
-  payments_.back().cost = cost;
+  budget_uses_.back().cost = cost;
   spent_ += cost;
   if (answered)
     last_answer_ = now;
   else
-    silent_until_ = now + kSilenceHolds;
+    known_unresponsive_until_ = now + kUnresponsiveTime;
 }
 
 }  // namespace chestnutport::admission
--- a/src/libs/gate/gate.h
+++ b/src/libs/gate/gate.h
@@ -1,5 +1,5 @@
-// The admission side: the only way to this node's own server. Runs on the
-// gate thread.
+// The gate: admits requests to this node's own server, the only path to it.
+// Runs on the gate thread.
 #ifndef GATE_GATE_H_
 #define GATE_GATE_H_
 
@@ -10,7 +10,7 @@
 
 #include "absl/container/flat_hash_map.h"
 #include "admission/admission_controller.h"
-#include "admission/freeze_watch.h"
+#include "admission/pause_detector.h"
 #include "base/result.h"
 #include "control_calls/peer_keys.h"
 #include "gate/gate_arrival.h"
@@ -36,12 +36,13 @@
 
 class Gate {
  public:
-  // What the gate tells of its server. Each is called on the gate's thread.
+  // Notifications about the server, called on the gate thread.
   struct Outputs {
-    std::function<void(const GateReport&)> report;  // A few times a second.
-    // The server ended with what it ran.
+    // Called several times a second.
+    std::function<void(const GateReport&)> report;
+    // The server crashed while it ran these requests.
     std::function<void(const quarantine::ServerCrash&)> server_crash;
-    // The server answered a request that is not free.
+    // The server answered a request that is suspected or in quarantine.
     std::function<void(base::RequestFingerprint)> suspect_answered;
   };
 
@@ -54,46 +55,52 @@
        Outputs outputs);
   ~Gate();
 
-  // Binds the peer listener. Call before the loop runs.
+  // Binds the peer listener and returns its address. Call before the loop runs.
   base::Result<base::SocketAddress> Listen(const base::SocketAddress& address);
 
-  // Called on the gate's thread.
+  // Call on the gate thread.
   void SetServer(const server::ServerState& server);
   void SetConfiguration(const declarations::Configuration& configuration) {
     recorder_.SetConfiguration(configuration);
   }
   void SetVerdicts(quarantine::SharedVerdicts verdicts);
   void SetKeyView(std::vector<keys::OwnerNode> nodes, base::Instant as_of);
-  // Refuses new work; `empty` is called once nothing is in flight.
+  // Refuses new requests; `empty` is called once no request is in flight.
   void Drain(std::function<void()> empty);
 
-  // For the gate's thread.
+  // Call on the gate thread.
   const telemetry::TrafficMetrics& metrics() const {
     return recorder_.metrics();
   }
   size_t in_flight() const { return attempts_.size(); }
 
  private:
-  // gate.cc: taking attempts, and answering the nodes that sent them.
+  // gate_admission.cc and gate.cc: checking and admitting the attempts of other
+  // nodes, and answering those nodes.
   void OnRequest(net::HttpRequest request, net::Reply reply);
   bool IsAuthorized(const wire::PeerRequestHead& head,
                     const net::HttpHeaders& headers) const;
   void Receive(const wire::PeerRequestHead& head,
                net::HttpRequest request,
                net::Reply reply);
-  // Admits those that waited for the server's word on its pace.
-  void AdmitWaiting();
+  // Admits the requests that waited for an on-demand probe.
+  void AdmitDeferred();
   void Admit(GateArrival arrival);
-  // Whether the attempt was answered because the server is not to have it.
-  bool TurnsAway(GateArrival& arrival, base::Instant now);
-  // Why the request is held back, if it is so before it is queued.
-  std::optional<quarantine::GuardRefusal> Held(const GateArrival& arrival,
-                                               base::Instant now) const;
-  // Says whether the attempt would be let in now. Nothing is kept of it.
+  // Answers the request with an error if the server must not get it. Returns
+  // whether it did.
+  bool RejectIfUnservable(GateArrival& arrival, base::Instant now);
+  // Returns the refusal if the request must not be queued because of a
+  // quarantine verdict.
+  std::optional<quarantine::GuardRefusal> QuarantineRefusal(
+      const GateArrival& arrival,
+      base::Instant now) const;
+  // Answers whether the attempt would be admitted now, without recording it.
   void AnswerInquiry(const admission::Arrival& asked, net::Reply& reply);
-  void Keep(GateArrival arrival);
-  // Whether another server would do better with a request that may move.
-  bool HandsBack(const wire::PeerRequestHead& head, base::Instant now) const;
+  void AddAttempt(GateArrival arrival);
+  // Returns whether another server would do better with a request that may
+  // move.
+  bool ShouldMoveElsewhere(const wire::PeerRequestHead& head,
+                           base::Instant now) const;
   admission::AttemptState Settle(const SettleRequest& request);
   void Perform(admission::AdmissionActions actions);
   void Refuse(const base::AttemptId& id,
@@ -102,10 +109,10 @@
   void Record(const GateAttempt& attempt,
               std::optional<base::ErrorKind> error,
               base::Instant now);
-  // Tells why an attempt has no answer of the server, or a late one. Adds the
-  // state of the server to `decision`.
+  // Logs why the server did not answer an attempt, or answered it late. Adds
+  // the state of the server to `decision`.
   void LogDecision(GateDecision decision) const;
-  // Ends an attempt with the answer to it.
+  // Sends the answer that ends an attempt.
   void Answer(GateAttempt& attempt, net::HttpAnswer answer);
   void SendAnswer(net::Reply& reply, net::HttpAnswer answer);
   void AddLoad(net::HttpAnswer& answer) const;
@@ -113,56 +120,58 @@
   void CheckEmpty();
   void Report(base::Instant now);
 
-  // gate_serving.cc: what becomes of attempts at the server.
-  // Hands the attempt to the server. Returns what to do next if it is not to
-  // have it any more.
+  // gate_serving.cc: attempts at the server.
+  // Hands the attempt to the server. Returns further actions if it must not be
+  // sent any more.
   admission::AdmissionActions Start(const base::AttemptId& id);
-  std::optional<quarantine::GuardRefusal> RefusalAtStart(
+  std::optional<quarantine::GuardRefusal> FindRefusalAtStart(
       const GateAttempt& attempt,
       base::Instant now);
-  void Serve(GateAttempt& attempt, base::Instant now);
-  // Hands the answer on as it comes, if it is large.
+  void SendToServer(GateAttempt& attempt, base::Instant now);
+  // Starts to stream the answer to the sender if it is large. Returns whether
+  // it does.
   bool StartRelay(const base::AttemptId& id, const net::HttpAnswer& head);
   bool RelayPart(const base::AttemptId& id, std::string_view part);
   void OnServerDone(const base::AttemptId& id, net::TransferResult result);
-  // Takes note of what the end says of the server and of the request.
-  void NoteEnd(const GateAttempt& attempt,
-               server::RequestResult end,
-               const net::TransferResult& result,
-               base::Instant now);
-  // The server ended while it ran these.
-  void OnServerEnded(const std::vector<admission::BrokenRequest>& broken);
-  // Refuses what waits, and stops what may be stopped, of requests that were
-  // put in quarantine meanwhile.
-  void DropQuarantined();
-  // What the sender of an attempt that is cancelled is told.
+  // Passes the result to the server observer and to the quarantine guard.
+  void RecordEnd(const GateAttempt& attempt,
+                 server::RequestResult end,
+                 const net::TransferResult& result,
+                 base::Instant now);
+  // The server crashed while it ran these requests.
+  void OnServerCrashed(
+      const std::vector<admission::InterruptedRequest>& broken);
+  // Refuses queued requests, and stops running ones where allowed, that have
+  // been put in quarantine since they arrived.
+  void CancelQuarantined();
+  // The errors sent for a cancelled attempt.
   struct CancelReason {
-    base::ErrorKind unrun = base::ErrorKind::kCancelled;
+    base::ErrorKind not_run = base::ErrorKind::kCancelled;
     base::ErrorKind stopped = base::ErrorKind::kConnectionLost;
     base::Duration retry_after{};
   };
   admission::AttemptState CancelAttempt(const base::AttemptId& id,
                                         bool stop_running,
                                         const CancelReason& reason);
-  // Whether the attempt was admitted, but waited for a connection to the
-  // server: then it never runs.
+  // Cancels an attempt that was admitted but still waits for a connection to
+  // the server, so that it never runs. Returns whether it did.
   bool CancelUnsent(const base::AttemptId& id,
                     const CancelReason& reason,
                     base::Instant now);
-  void OnPeerGone(const base::AttemptId& id);
+  void OnPeerDisconnected(const base::AttemptId& id);
 
   net::EventLoop& loop_;
   traffic::NodeIdentity identity_;
   control_calls::PeerKeys keys_;
   server::ServerState server_;
   admission::AdmissionController admission_;
-  admission::FreezeWatch freeze_watch_;
+  admission::PauseDetector pause_detector_;
   server::AnyServerProtocol protocol_;
   traffic::RunningRequests& running_;
   KeyedRequests keyed_requests_;
   net::HttpClient client_;
   server::ServerObserver observer_;
-  std::vector<GateArrival> waiting_for_look_;
+  std::vector<GateArrival> waiting_for_probe_;
   quarantine::GateGuard guard_;
   Outputs outputs_;
   base::Instant reported_at_;
@@ -171,7 +180,8 @@
   std::unique_ptr<net::HttpServer> listener_;
   absl::flat_hash_map<base::AttemptId, std::unique_ptr<GateAttempt>> attempts_;
   std::function<void()> on_empty_;
-  bool empty_told_ = false;  // That the draining server has no work left.
+  // Whether the event was logged that the draining server has no requests left.
+  bool is_empty_logged_ = false;
   net::EventLoop::TimerId ticker_ = 0;
 };
 
--- a/src/libs/gate/keyed_requests.cc
+++ b/src/libs/gate/keyed_requests.cc
@@ -15,12 +15,13 @@
 using keys::ClaimVerdict;
 using keys::OwnershipStatus;
 
-// Set by the ingress node on each request that is bound to its key's owner.
+// Returns the header that the ingress node sets on each request sent to the
+// owner of its key, or an empty string.
 std::string_view KeyAge(const net::HttpRequest& request) {
   return net::FindHeader(request.headers, wire::kKeyAgeHeader);
 }
 
-// Nothing if the key may be used.
+// Returns nothing if the key may be used.
 std::optional<net::HttpAnswer> AnswerTo(const keys::OwnershipDecision& status) {
   switch (status.status) {
     case OwnershipStatus::kMayRun:
@@ -37,7 +38,7 @@
   return net::MakeErrorAnswer(ErrorKind::kKeyRecordUnavailable);
 }
 
-// Nothing if the request is to be run.
+// Returns nothing if the request may run.
 std::optional<net::HttpAnswer> AnswerTo(const keys::Claim& claim) {
   switch (claim.verdict) {
     case ClaimVerdict::kRun:
@@ -86,7 +87,7 @@
                            request.headers, wire::kIdempotencyKeyHeader))};
   const auto status =
       ownership_.StatusOf(scope.Hash(), base::ParseDuration(age), now);
-  // What is on record here is known whatever happened to the ownership.
+  // A key with a record here is known regardless of changes of ownership.
   const bool is_known = ledger_.Contains(scope);
   if (!is_known) {
     if (auto answer = AnswerTo(status))
--- a/src/libs/gate/settle_calls.cc
+++ b/src/libs/gate/settle_calls.cc
@@ -12,12 +12,12 @@
 using base::AttemptId;
 using nlohmann::json;
 
-// True also if it is left out.
-bool IsWanted(const json& request, const char* field) {
+// Returns the flag, true by default.
+bool ReadFlag(const json& request, const char* field) {
   return !request.contains(field) || request[field] != false;
 }
 
-std::optional<SettleRequest> ReadRequest(const std::string& text) {
+std::optional<SettleRequest> ParseRequest(const std::string& text) {
   const json read = json::parse(text, nullptr, false);
   if (!read.is_object() || !read.contains("attempt") ||
       !read["attempt"].is_string()) {
@@ -26,8 +26,8 @@
   const auto attempt = AttemptId::Parse(read["attempt"].get<std::string>());
   if (!attempt)
     return std::nullopt;
-  return SettleRequest{*attempt, IsWanted(read, "cancel"),
-                       IsWanted(read, "stop_running")};
+  return SettleRequest{*attempt, ReadFlag(read, "cancel"),
+                       ReadFlag(read, "stop_running")};
 }
 
 }  // namespace
@@ -45,7 +45,7 @@
 }
 
 std::string SettleCalls::Settle(const std::string& params) const {
-  const auto request = ReadRequest(params);
+  const auto request = ParseRequest(params);
   if (!request)
     return "";
   const AttemptState state = handler_(*request);
--- a/src/libs/ingress/attempt_sender.cc
+++ b/src/libs/ingress/attempt_sender.cc
@@ -130,7 +130,8 @@
 
 void AttemptSender::InquireCapacity(InFlight& sent) {
   const PendingRequest& pending = *sent.pending;
-  net::HttpRequest inquiry{.method = "POST", .target = traffic::kInquiryPath};
+  net::HttpRequest inquiry{.method = "POST",
+                           .target = traffic::kCapacityInquiryPath};
   pending.head.AppendTo(inquiry.headers, keys_.current);
   sent.transfer = client_.Send(
       pending.to, std::move(inquiry),
@@ -148,7 +149,7 @@
   InFlight& sent = found->second;
   const bool is_whole = result.end == net::TransferEnd::kComplete;
   const bool has_place =
-      is_whole && result.answer.status == traffic::kPlaceFree;
+      is_whole && result.answer.status == traffic::kCapacityAvailable;
   // The request itself was not sent, whatever the result of the inquiry.
   if (!is_whole)
     result.end = net::TransferEnd::kNotSent;
@@ -189,7 +190,7 @@
                                const net::HttpAnswer& head) {
   const auto found = in_flight_.find(attempt);
   if (found == in_flight_.end() ||
-      !traffic::IsRelayed(found->second.method, head))
+      !traffic::ShouldRelay(found->second.method, head))
     return false;
   const calls::AttemptEnd end =
       ReadEnd({.end = net::TransferEnd::kComplete, .answer = head},
--- a/src/libs/server/local_server.cc
+++ b/src/libs/server/local_server.cc
@@ -148,7 +148,8 @@
 bool LocalServer::Apply(const ServerAnnouncement& announcement) {
   using Verdict = ServerIncarnationTracker::Verdict;
   const base::Instant now = base::Clock::now();
-  const bool is_overdue = !state_.announced || presence_.IsOverdue(now);
+  const bool is_overdue =
+      !state_.announced || presence_.IsAnnouncementOverdue(now);
   const Verdict verdict = incarnations_.OnAnnounced(announcement, is_overdue);
   if (verdict == Verdict::kStale)
     return false;
@@ -233,7 +234,7 @@
 }
 
 void LocalServer::CheckPresence() {
-  if (state_.announced && !presence_.IsPresent(base::Clock::now()))
+  if (state_.announced && !presence_.IsAlive(base::Clock::now()))
     Withdraw();
   timer_ = loop_.CallAfter(kPresenceCheckInterval, [this] { CheckPresence(); });
 }
--- a/src/libs/server/local_server.h
+++ b/src/libs/server/local_server.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <string_view>
 
-#include "admission/server_presence.h"
+#include "admission/server_liveness.h"
 #include "base/result.h"
 #include "net/event_loop.h"
 #include "net/http_server.h"
@@ -95,7 +95,7 @@
   ServerIncarnationTracker incarnations_;
   std::string last_fault_;  // Repeated faults are logged once.
   std::set<DrainSource> drain_sources_;
-  admission::ServerPresence presence_;
+  admission::ServerLiveness presence_;
   net::EventLoop::TimerId timer_ = 0;
   std::unique_ptr<net::HttpServer> listener_;
 };
--- a/src/libs/server/server_observer.cc
+++ b/src/libs/server/server_observer.cc
@@ -32,7 +32,7 @@
   prober_.SetServer(server);
   if (!has_started)
     return;
-  end_watch_.OnStarted(base::Clock::now());
+  end_watch_.OnServerRestarted(base::Clock::now());
   pace_.Reset();
   is_replaced_ = false;
 }
@@ -43,7 +43,8 @@
 }
 
 void ServerObserver::ProbeIfInDoubt(base::Instant now) {
-  const bool is_due = end_watch_.IsInDoubt() && now >= next_doubt_probe_at_;
+  const bool is_due =
+      end_watch_.IsCrashSuspected() && now >= next_doubt_probe_at_;
   if (is_due && prober_.ProbeNow(now))
     next_doubt_probe_at_ = now + kDoubtProbeInterval;
 }
@@ -59,13 +60,13 @@
                          {"found", protocol_.instance(answer.headers)}});
   }
   if (request.end == net::TransferEnd::kLost) {
-    end_watch_.OnBroken({.fingerprint = request.fingerprint,
-                         .is_suspect = request.is_suspect,
-                         .life = request.life,
-                         .instance = request.instance,
-                         .is_over_cold_rate = request.is_over_cold_rate,
-                         .started_at = request.started_at,
-                         .broken_at = now});
+    end_watch_.OnInterrupted({.fingerprint = request.fingerprint,
+                              .is_suspect = request.is_suspect,
+                              .life = request.life,
+                              .instance = request.instance,
+                              .is_over_cold_rate = request.is_over_cold_rate,
+                              .started_at = request.started_at,
+                              .interrupted_at = now});
   }
   // A result that arrives after a new incarnation has announced itself must not
   // count for that one: the new server would stay idle because of a connection
@@ -84,7 +85,7 @@
     UpdateFromHeaders(answer.headers, now);
   }
   if (request.is_refused)
-    end_watch_.OnRefused(now);
+    end_watch_.OnConnectionRefused(now);
   if (is_complete && request.verdict == ServerVerdict::kOtherInstance) {
     is_replaced_ = true;
     return;
@@ -115,14 +116,14 @@
   if (result.end == net::TransferEnd::kComplete && is_own)
     end_watch_.OnAnswer(started_at);
   if (result.is_refused)
-    end_watch_.OnRefused(now);
+    end_watch_.OnConnectionRefused(now);
   if (result.end == net::TransferEnd::kComplete) {
     UpdateFromHeaders(result.answer.headers, now);
     const auto& headers = result.answer.headers;
     if (is_own && protocol_.reports_cold_state && !protocol_.cold_for(headers))
       outputs_.warm_reported();
   } else if (result.end == net::TransferEnd::kTimedOut) {
-    pace_.OnSilentProbe(now);
+    pace_.OnProbeTimeout(now);
   } else {
     pace_.OnResult(false, now);
   }
--- a/src/libs/server/server_observer.h
+++ b/src/libs/server/server_observer.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "admission/server_end_watch.h"
-#include "admission/server_pace.h"
+#include "admission/server_crash_detector.h"
+#include "admission/server_performance.h"
 #include "base/request_fingerprint.h"
 #include "net/event_loop.h"
 #include "server/server_prober.h"
@@ -67,12 +67,12 @@
   void Tick(base::Instant now);
   // Returns the requests that the server ran when it crashed, once for each
   // crash.
-  std::optional<std::vector<admission::BrokenRequest>> TakeCrash(
+  std::optional<std::vector<admission::InterruptedRequest>> TakeCrash(
       base::Instant now) {
     return end_watch_.TakeCrash(now);
   }
 
-  const admission::ServerPace& pace() const { return pace_; }
+  const admission::ServerPerformance& pace() const { return pace_; }
   // Another instance responded to a request meant for this one. Nothing is sent
   // to the address until that instance announces itself.
   bool is_replaced() const { return is_replaced_; }
@@ -103,8 +103,8 @@
   Outputs outputs_;
   std::string instance_;
   uint64_t life_ = 0;
-  admission::ServerPace pace_;
-  admission::ServerEndWatch end_watch_;
+  admission::ServerPerformance pace_;
+  admission::ServerCrashDetector end_watch_;
   base::Instant next_doubt_probe_at_;
   bool is_replaced_ = false;
   ServerProber prober_;
--- a/src/libs/server/server_prober.cc
+++ b/src/libs/server/server_prober.cc
@@ -42,7 +42,7 @@
 bool ServerProber::ProbeNow(base::Instant now) {
   if (path_.empty())
     return false;
-  const auto max_duration = scheduler_.BeginLook(now);
+  const auto max_duration = scheduler_.StartOnDemand(now);
   if (!max_duration)
     return false;
   SendProbe(*max_duration, now);
@@ -52,7 +52,7 @@
 void ServerProber::Tick(base::Instant now) {
   if (path_.empty())
     return;
-  if (const auto max_duration = scheduler_.Begin(now))
+  if (const auto max_duration = scheduler_.StartIfDue(now))
     SendProbe(*max_duration, now);
 }
 
--- a/tests/support/gate_scene.h
+++ b/tests/support/gate_fixture.h
@@ -1,7 +1,7 @@
-// A gate between another node and a server that behaves as a test wants, all on
-// one loop.
-#ifndef SUPPORT_GATE_SCENE_H_
-#define SUPPORT_GATE_SCENE_H_
+// A gate between a peer node and a fake server with scripted behaviour, all on
+// one event loop.
+#ifndef SUPPORT_GATE_FIXTURE_H_
+#define SUPPORT_GATE_FIXTURE_H_
 
 #include <functional>
 #include <map>
@@ -20,56 +20,58 @@
 
 namespace chestnutport::test {
 
-class GateScene {
+class GateFixture {
  public:
-  explicit GateScene(const server::AnyServerProtocol& protocol);
-  // Of a server that speaks the product's own protocol.
-  GateScene();
+  explicit GateFixture(const server::AnyServerProtocol& protocol);
+  // Uses the product's own server protocol.
+  GateFixture();
 
-  // Tells the gate of `state`.
+  // Passes `state` to the gate.
   void Apply() { gate_.SetServer(state); }
 
-  // Begins an attempt; the result is in `results` once it ends.
+  // Starts an attempt; its result is stored in `results` when it ends.
   base::AttemptId Begin(const std::string& method,
                         base::Duration remaining = std::chrono::seconds(10));
-  // The same of a certain request, by the word of the other node a suspect or
-  // not.
+  // Starts an attempt with a fingerprint, marked as suspect or not by the
+  // sender.
   base::AttemptId BeginGuarded(const quarantine::GuardedRequest& request);
-  // The same with an idempotency key; see OwnKeys().
+  // Starts an attempt with an idempotency key; see AcquireKeyOwnership().
   base::AttemptId BeginKeyed(const quarantine::GuardedRequest& request,
                              const std::string& key);
   // Makes the gate's node the owner of all keys.
-  void OwnKeys();
+  void AcquireKeyOwnership();
   void SetVerdicts(const quarantine::Verdicts& verdicts) {
     gate_.SetVerdicts(std::make_shared<const quarantine::Verdicts>(verdicts));
   }
-  // The server ends; nobody listens at its address any more.
+  // Ends the server; its address then refuses connections.
   void EndServer() { server_.reset(); }
-  // Whether the gate would let a request in.
-  net::TransferResult Inquire(const quarantine::GuardedRequest& request = {});
-  // Waits for the end of an attempt.
+  // Sends a capacity inquiry and returns its result.
+  net::TransferResult InquireCapacity(
+      const quarantine::GuardedRequest& guarded = {});
+  // Starts an attempt and waits for its result.
   net::TransferResult Run(const std::string& method);
-  // The state of the attempt, as the gate says.
+  // Queries or cancels the attempt and returns its state.
   std::string Settle(const base::AttemptId& attempt,
                      bool cancel,
                      bool stop_running = true);
-  // The other node goes away.
-  void Leave(size_t transfer) { peer_.Cancel(transfers.at(transfer)); }
+  // Closes the peer's connection.
+  void DisconnectPeer(size_t transfer) { peer_.Cancel(transfers.at(transfer)); }
 
-  // Runs until `holds`, for ten seconds at most.
-  bool Until(const std::function<bool()>& holds);
+  // Runs the loop until `holds` returns true, for ten seconds at most.
+  bool RunUntil(const std::function<bool()>& holds);
 
-  net::HttpAnswer answer;                 // Of the server.
-  std::function<void()> serving = [] {};  // Called while a request is served.
-  bool silent = false;                    // The server answers nothing.
+  net::HttpAnswer answer;  // The server's answer.
+  // Called for each request that reaches the server.
+  std::function<void()> on_request = [] {};
+  bool is_silent = false;  // The server does not answer.
   bool inquiry_may_move = true;
   server::ServerState state;
   gate::GateReport report;
   std::vector<quarantine::ServerCrash> crashes;
   std::vector<base::RequestFingerprint> answered_suspects;
   std::vector<net::HttpRequest> served;
-  std::vector<net::Reply> held;
-  int gone = 0;  // Requests whose connection the gate closed.
+  std::vector<net::Reply> pending_replies;
+  int closed_requests = 0;  // Requests whose connection the gate closed.
   std::map<uint64_t, net::TransferResult> results;
   std::vector<net::HttpClient::TransferId> transfers;
 
@@ -92,10 +94,10 @@
   uint64_t last_ = 0;
 };
 
-// What a gate said of an attempt.
+// Return the outcome and error headers of a gate's answer.
 std::string Outcome(const net::TransferResult& result);
 std::string Error(const net::TransferResult& result);
 
 }  // namespace chestnutport::test
 
-#endif  // SUPPORT_GATE_SCENE_H_
+#endif  // SUPPORT_GATE_FIXTURE_H_
