--- a/src/libs/fleet/evidence_store.cc
+++ b/src/libs/fleet/evidence_store.cc
@@ -15,7 +15,7 @@
 // The entry ends when the longest hold does; what is held for longer has been
 // written anew since, as a further server ended.
 constexpr std::chrono::milliseconds kTimeToLive =
-    quarantine::CrashLedger::kHold;
+    quarantine::CrashLedger::kQuarantinePeriod;
 // Within this time the writers of the data centres list, one after the other as
 // a rule, so that the first one's entry is seen by the others.
 constexpr std::chrono::milliseconds kSpread(1000);
@@ -55,7 +55,7 @@
   quarantine_.Learn(stored);
   const auto held = EvidenceOf(quarantine_.Held());
   const bool is_kept =
-      quarantine::MarksDigest(held) == quarantine::MarksDigest(stored);
+      quarantine::EvidenceDigest(held) == quarantine::EvidenceDigest(stored);
   if (writes && !held.empty() && !is_kept)
     Write(found == entries.end() ? 0 : found->revision);
 }
--- a/src/libs/fleet/fleet_membership.cc
+++ b/src/libs/fleet/fleet_membership.cc
@@ -48,7 +48,9 @@
     : loop_(loop),
       listener_(listener),
       caller_(caller),
-      seal_(settings.fleet, settings.peer_key, settings.previous_peer_key),
+      authenticator_(settings.fleet,
+                     settings.peer_key,
+                     settings.previous_peer_key),
       ledger_(ledger),
       random_(random),
       seeds_(loop, store, settings, base::Random(random_())) {}
@@ -79,7 +81,7 @@
 void FleetMembership::Start(const membership::Member& self, Handler handler) {
   handler_ = std::move(handler);
   gossip_ = std::make_unique<membership::Gossip>(
-      self, membership::GossipOptions{}, seal_, records_, ledger_,
+      self, membership::GossipOptions{}, authenticator_, records_, ledger_,
       base::Random(random_()), loop_.now());
   listener_.Add(kPullMethod, [this](const std::string& params) {
     return AnswerPull(params);
@@ -120,16 +122,16 @@
   evidence_handler_ = std::move(handler);
 }
 
-void FleetMembership::TellEvidence(
+void FleetMembership::AnnounceEvidence(
     std::span<const base::RequestFingerprint> requests) {
   if (!gossip_)
     return;
   GossipOutput output;
-  gossip_->TellEvidence(loop_.now(), requests, output);
+  gossip_->AnnounceEvidence(loop_.now(), requests, output);
   Apply(output);
 }
 
-void FleetMembership::TellEvacuations(const evacuation::Evacuations& read) {
+void FleetMembership::AnnounceEvacuations(const evacuation::Evacuations& read) {
   if (!gossip_)
     return;
   GossipOutput output;
@@ -169,9 +171,9 @@
     PublishSoon();
   loop_.Cancel(run_timer_);
   run_timer_ = loop_.CallAt(gossip_->NextRun(), [this] { Run(); });
-  if (output.has_evidence && evidence_handler_)
+  if (output.evidence_changed && evidence_handler_)
     evidence_handler_();
-  if (output.has_evacuations && evacuations_handler_)
+  if (output.evacuations_changed && evacuations_handler_)
     evacuations_handler_(gossip_->evacuations());
   if (output.revision && revision_handler_)
     revision_handler_(output.revision->revision, output.revision->from);
@@ -187,7 +189,7 @@
   const auto view = answer ? UnwrapView(answer.value()) : std::nullopt;
   GossipOutput output;
   if (view)
-    gossip_->OnPullAnswer(loop_.now(), *view, output);
+    gossip_->OnPullResponse(loop_.now(), *view, output);
   else
     gossip_->OnPullFailed(loop_.now());
   Apply(output);
--- a/src/libs/fleet/fleet_membership.h
+++ b/src/libs/fleet/fleet_membership.h
@@ -68,7 +68,7 @@
   // Set before Start().
   void OnEvidence(EvidenceHandler handler);
   // The ledger has something new on these requests, to be told to the fleet.
-  void TellEvidence(std::span<const base::RequestFingerprint> requests);
+  void AnnounceEvidence(std::span<const base::RequestFingerprint> requests);
 
   // Other data centres are evacuated than before. Set before Start().
   void OnEvacuations(
@@ -76,7 +76,7 @@
     evacuations_handler_ = std::move(handler);
   }
   // This node read from the store which data centres are evacuated.
-  void TellEvacuations(const evacuation::Evacuations& read);
+  void AnnounceEvacuations(const evacuation::Evacuations& read);
 
   // The entries beside the seeds in the store; see SeedKeeper. Set before
   // Start().
@@ -109,7 +109,7 @@
   net::EventLoop& loop_;
   control_calls::ControlListener& listener_;
   control_calls::ControlCaller& caller_;
-  membership::DatagramSeal seal_;
+  membership::DatagramAuthenticator authenticator_;
   quarantine::CrashLedger& ledger_;
   base::Random random_;
   SeedKeeper seeds_;
--- a/src/libs/fleet/request_quarantine.cc
+++ b/src/libs/fleet/request_quarantine.cc
@@ -12,7 +12,7 @@
 namespace {
 
 using base::RequestFingerprint;
-using quarantine::CrashMark;
+using quarantine::CrashObservation;
 using quarantine::RequestEvidence;
 using quarantine::Verdict;
 using quarantine::VerdictUntil;
@@ -161,13 +161,15 @@
 
 std::string RequestQuarantine::Describe(const RequestEvidence& evidence) const {
   std::string text;
-  for (const CrashMark& mark : evidence.marks) {
+  for (const CrashObservation& mark : evidence.crashes) {
     const auto age =
         std::chrono::round<std::chrono::milliseconds>(loop_.now() - mark.at);
-    const auto ran = std::chrono::round<std::chrono::milliseconds>(mark.ran);
+    const auto run_time =
+        std::chrono::round<std::chrono::milliseconds>(mark.run_time);
     absl::StrAppend(&text, text.empty() ? "" : " ", NameOf(mark.crash.node),
                     "/", mark.crash.life, "-", base::FormatDuration(age), "+",
-                    base::FormatDuration(ran), mark.is_alone ? "!" : "");
+                    base::FormatDuration(run_time),
+                    mark.is_sole_suspect ? "!" : "");
   }
   return text;
 }
--- a/src/libs/fleet/request_quarantine.h
+++ b/src/libs/fleet/request_quarantine.h
@@ -12,7 +12,7 @@
 #include "membership/member.h"
 #include "net/event_loop.h"
 #include "quarantine/crash_ledger.h"
-#include "quarantine/gate_guard.h"
+#include "quarantine/quarantine_filter.h"
 #include "quarantine/server_crash.h"
 
 namespace chestnutport::fleet {
--- a/src/libs/gate/gate.h
+++ b/src/libs/gate/gate.h
@@ -22,7 +22,7 @@
 #include "net/event_loop.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
-#include "quarantine/gate_guard.h"
+#include "quarantine/quarantine_filter.h"
 #include "quarantine/server_crash.h"
 #include "server/server_observer.h"
 #include "server/server_protocol.h"
@@ -87,8 +87,9 @@
   // Whether the attempt was answered because the server is not to have it.
   bool TurnsAway(GateArrival& arrival, base::Instant now);
   // Why the request is held back, if it is so before it is queued.
-  std::optional<quarantine::GuardRefusal> Held(const GateArrival& arrival,
-                                               base::Instant now) const;
+  std::optional<quarantine::QuarantineRejection> Held(
+      const GateArrival& arrival,
+      base::Instant now) const;
   // Says whether the attempt would be let in now. Nothing is kept of it.
   void AnswerInquiry(const admission::Arrival& asked, net::Reply& reply);
   void Keep(GateArrival arrival);
@@ -117,7 +118,7 @@
   // Hands the attempt to the server. Returns what to do next if it is not to
   // have it any more.
   admission::AdmissionActions Start(const base::AttemptId& id);
-  std::optional<quarantine::GuardRefusal> RefusalAtStart(
+  std::optional<quarantine::QuarantineRejection> RefusalAtStart(
       const GateAttempt& attempt,
       base::Instant now);
   void Serve(GateAttempt& attempt, base::Instant now);
@@ -163,7 +164,7 @@
   net::HttpClient client_;
   server::ServerObserver observer_;
   std::vector<GateArrival> waiting_for_look_;
-  quarantine::GateGuard guard_;
+  quarantine::QuarantineFilter guard_;
   Outputs outputs_;
   base::Instant reported_at_;
   SettleCalls settle_calls_;
--- a/src/libs/gate/gate_admission.cc
+++ b/src/libs/gate/gate_admission.cc
@@ -138,8 +138,9 @@
   return true;
 }
 
-std::optional<quarantine::GuardRefusal> Gate::Held(const GateArrival& arrival,
-                                                   base::Instant now) const {
+std::optional<quarantine::QuarantineRejection> Gate::Held(
+    const GateArrival& arrival,
+    base::Instant now) const {
   const wire::PeerRequestHead& head = arrival.head;
   // A copy of an attempt that is here must not hear that it does not run.
   const bool is_new = admission_.State(head.attempt) == AttemptState::kUnknown;
--- a/src/libs/gate/gate_attempt.h
+++ b/src/libs/gate/gate_attempt.h
@@ -12,7 +12,7 @@
 #include "net/http_client.h"
 #include "net/http_message.h"
 #include "net/reply.h"
-#include "quarantine/gate_guard.h"
+#include "quarantine/quarantine_filter.h"
 #include "traffic/answer_relay.h"
 
 namespace chestnutport::gate {
@@ -22,7 +22,7 @@
   base::Instant deadline;
   bool may_stop = false;
   std::string name;  // As the caller named it.
-  quarantine::GuardedRequest guarded;
+  quarantine::IncomingRequest guarded;
   // The life of the server that it was sent to, and how that names itself.
   uint64_t life = 0;
   std::string instance;
--- a/src/libs/gate/gate_serving.cc
+++ b/src/libs/gate/gate_serving.cc
@@ -35,13 +35,14 @@
   return {};
 }
 
-std::optional<quarantine::GuardRefusal> Gate::RefusalAtStart(
+std::optional<quarantine::QuarantineRejection> Gate::RefusalAtStart(
     const GateAttempt& attempt,
     base::Instant now) {
   if (!admission_.MaySend(attempt.id, now))
-    return quarantine::GuardRefusal{ErrorKind::kDeadlineTooClose, {}};
+    return quarantine::QuarantineRejection{ErrorKind::kDeadlineTooClose, {}};
   if (!keyed_requests_.MayStart(attempt.id, now))
-    return quarantine::GuardRefusal{ErrorKind::kKeyRecordUnavailable, {}};
+    return quarantine::QuarantineRejection{ErrorKind::kKeyRecordUnavailable,
+                                           {}};
   // It may have waited while a verdict was passed.
   return guard_.Judge(attempt.guarded, now);
 }
@@ -164,7 +165,8 @@
   }
   const quarantine::CrashId crash{identity_.id,
                                   static_cast<uint32_t>(broken.front().life)};
-  outputs_.server_crash(guard_.Blame(crash, running, base::Clock::now()));
+  outputs_.server_crash(
+      guard_.AttributeCrash(crash, running, base::Clock::now()));
 }
 
 void Gate::DropQuarantined() {
--- a/src/libs/ingress/ingress.h
+++ b/src/libs/ingress/ingress.h
@@ -23,7 +23,7 @@
 #include "ingress/traffic_snapshot.h"
 #include "net/event_loop.h"
 #include "net/http_server.h"
-#include "quarantine/gate_guard.h"
+#include "quarantine/quarantine_filter.h"
 #include "traffic/node_identity.h"
 #include "traffic/running_requests.h"
 #include "traffic/traffic_recorder.h"
--- a/src/libs/ingress/ingress_attempts.cc
+++ b/src/libs/ingress/ingress_attempts.cc
@@ -89,7 +89,7 @@
         return sent.end && sent.end->error == base::ErrorKind::kServerLost;
       });
   return ended_by >= static_cast<std::ptrdiff_t>(
-                         quarantine::CrashLedger::kSuspectMarks) ||
+                         quarantine::CrashLedger::kSuspicionThreshold) ||
          !verdicts_->IsFree(call.request.fingerprint);
 }
 
--- a/src/libs/membership/byte_budget.cc
+++ b/src/libs/membership/byte_rate_limiter.cc
@@ -1,17 +1,19 @@
-#include "membership/byte_budget.h"
+#include "membership/byte_rate_limiter.h"
 
 #include <algorithm>
 #include <chrono>
 
 namespace chestnutport::membership {
 
-ByteBudget::ByteBudget(size_t per_second, size_t burst, base::Instant now)
+ByteRateLimiter::ByteRateLimiter(size_t per_second,
+                                 size_t burst,
+                                 base::Instant now)
     : per_second_(static_cast<double>(per_second)),
       burst_(static_cast<double>(burst)),
       balance_(burst_),
       filled_at_(now) {}
 
-bool ByteBudget::IsOpen(base::Instant now) {
+bool ByteRateLimiter::HasTokens(base::Instant now) {
   const std::chrono::duration<double> passed = now - filled_at_;
   filled_at_ = std::max(filled_at_, now);
   if (passed.count() > 0)
@@ -19,11 +21,11 @@
   return balance_ > 0;
 }
 
-void ByteBudget::Spend(size_t bytes) {
+void ByteRateLimiter::Consume(size_t bytes) {
   balance_ -= static_cast<double>(bytes);
 }
 
-base::Instant ByteBudget::OpensAt() const {
+base::Instant ByteRateLimiter::NextAvailable() const {
   const std::chrono::duration<double> wait(std::max(0.0, 1 - balance_) /
                                            per_second_);
   return filled_at_ + std::chrono::duration_cast<base::Duration>(wait) +
--- a/src/libs/membership/byte_budget.h
+++ b/src/libs/membership/byte_rate_limiter.h
@@ -1,6 +1,6 @@
 // A token bucket that limits what a node sends.
-#ifndef MEMBERSHIP_BYTE_BUDGET_H_
-#define MEMBERSHIP_BYTE_BUDGET_H_
+#ifndef MEMBERSHIP_BYTE_RATE_LIMITER_H_
+#define MEMBERSHIP_BYTE_RATE_LIMITER_H_
 
 #include <cstddef>
 
@@ -8,16 +8,16 @@
 
 namespace chestnutport::membership {
 
-class ByteBudget {
+class ByteRateLimiter {
  public:
-  ByteBudget(size_t per_second, size_t burst, base::Instant now);
+  ByteRateLimiter(size_t per_second, size_t burst, base::Instant now);
 
   // Whether anything may be sent now.
-  bool IsOpen(base::Instant now);
+  bool HasTokens(base::Instant now);
   // Takes `bytes`; the balance may go below zero by one datagram.
-  void Spend(size_t bytes);
+  void Consume(size_t bytes);
   // When the budget is open again.
-  base::Instant OpensAt() const;
+  base::Instant NextAvailable() const;
 
  private:
   double per_second_;
@@ -28,4 +28,4 @@
 
 }  // namespace chestnutport::membership
 
-#endif  // MEMBERSHIP_BYTE_BUDGET_H_
+#endif  // MEMBERSHIP_BYTE_RATE_LIMITER_H_
--- a/src/libs/membership/datagram_seal.cc
+++ b/src/libs/membership/datagram_authenticator.cc
@@ -1,4 +1,4 @@
-#include "membership/datagram_seal.h"
+#include "membership/datagram_authenticator.h"
 
 #include <openssl/evp.h>
 #include <openssl/hmac.h>
@@ -9,20 +9,20 @@
 
 namespace chestnutport::membership {
 
-DatagramSeal::DatagramSeal(const std::string& fleet,
-                           std::string key,
-                           std::string previous_key)
+DatagramAuthenticator::DatagramAuthenticator(const std::string& fleet,
+                                             std::string key,
+                                             std::string previous_key)
     : prefix_(fleet + '\0'),
       key_(std::move(key)),
       previous_key_(std::move(previous_key)) {}
 
-std::string DatagramSeal::Seal(std::string_view message) const {
+std::string DatagramAuthenticator::Sign(std::string_view message) const {
   std::string datagram = Tag(key_, message);
   datagram += message;
   return datagram;
 }
 
-std::optional<std::string_view> DatagramSeal::Open(
+std::optional<std::string_view> DatagramAuthenticator::Verify(
     std::string_view datagram) const {
   if (datagram.size() <= kTagSize)
     return std::nullopt;
@@ -37,8 +37,8 @@
   return std::nullopt;
 }
 
-std::string DatagramSeal::Tag(const std::string& key,
-                              std::string_view message) const {
+std::string DatagramAuthenticator::Tag(const std::string& key,
+                                       std::string_view message) const {
   std::string signed_text = prefix_;
   signed_text += message;
   unsigned char digest[EVP_MAX_MD_SIZE];
--- a/src/libs/membership/evidence_spread.cc
+++ b/src/libs/membership/evidence_disseminator.cc
@@ -1,4 +1,4 @@
-#include "membership/evidence_spread.h"
+#include "membership/evidence_disseminator.h"
 
 #include <algorithm>
 
@@ -11,31 +11,35 @@
 using quarantine::CrashLedger;
 using quarantine::RequestEvidence;
 
-EvidenceSpread::EvidenceSpread(CrashLedger& ledger,
-                               const GossipOptions& options,
-                               Instant now)
+EvidenceDisseminator::EvidenceDisseminator(CrashLedger& ledger,
+                                           const GossipOptions& options,
+                                           Instant now)
     : ledger_(ledger),
       options_(options),
-      budget_(options.evidence_per_second, options.evidence_burst, now),
+      budget_(options.evidence_bytes_per_second,
+              options.evidence_burst_bytes,
+              now),
       next_flush_(now) {}
 
-bool EvidenceSpread::IsForAll(RequestFingerprint fingerprint) const {
+bool EvidenceDisseminator::IsFleetWide(RequestFingerprint fingerprint) const {
   const auto evidence = ledger_.Find(fingerprint);
-  return evidence && (evidence->marks.size() >= CrashLedger::kSuspectMarks ||
-                      !evidence->refuted.empty());
+  return evidence &&
+         (evidence->crashes.size() >= CrashLedger::kSuspicionThreshold ||
+          !evidence->refuted.empty());
 }
 
-void EvidenceSpread::TellAll(RequestFingerprint fingerprint, Instant now) {
-  if (!HasFresh())
+void EvidenceDisseminator::Broadcast(RequestFingerprint fingerprint,
+                                     Instant now) {
+  if (!HasUnsent())
     next_flush_ = std::max(next_flush_, now + options_.flush_delay);
-  news_.Push(fingerprint, false, options_.repeats);
+  updates_.Push(fingerprint, false, options_.retransmissions);
 }
 
-std::string EvidenceSpread::TakeFresh(Instant now, size_t room) {
+std::string EvidenceDisseminator::TakeUnsent(Instant now, size_t room) {
   std::vector<RequestEvidence> taken;
-  if (budget_.IsOpen(now)) {
-    news_.TakeFresh([&](const Queue::News& news) {
-      const auto evidence = ledger_.Find(news.id);
+  if (budget_.HasTokens(now)) {
+    updates_.TakeUnsent([&](const Queue::Item& queued) {
+      const auto evidence = ledger_.Find(queued.id);
       if (!evidence)
         return true;
       const size_t size = quarantine::EncodedSize(*evidence);
@@ -46,28 +50,28 @@
       return true;
     });
   }
-  next_flush_ = std::max(now, budget_.OpensAt());
+  next_flush_ = std::max(now, budget_.NextAvailable());
   return quarantine::EncodeEvidence(taken, now);
 }
 
-std::string EvidenceSpread::TakeRepeats(Instant now, size_t room) {
+std::string EvidenceDisseminator::TakePiggybacked(Instant now, size_t room) {
   std::vector<RequestEvidence> taken;
-  news_.TakeRepeats([&](const Queue::News& news) {
-    const auto evidence = ledger_.Find(news.id);
+  updates_.TakePiggybacked([&](const Queue::Item& queued) {
+    const auto evidence = ledger_.Find(queued.id);
     if (!evidence)
       return true;
     const size_t size = quarantine::EncodedSize(*evidence);
-    if (size > room || !budget_.IsOpen(now))
+    if (size > room || !budget_.HasTokens(now))
       return false;
     room -= size;
-    budget_.Spend(size);
+    budget_.Consume(size);
     taken.push_back(*evidence);
     return true;
   });
   return quarantine::EncodeEvidence(taken, now);
 }
 
-std::vector<std::string> EvidenceSpread::PartsOf(
+std::vector<std::string> EvidenceDisseminator::EncodeInParts(
     std::span<const RequestFingerprint> requests,
     Instant now,
     size_t room) const {
@@ -92,9 +96,9 @@
   return parts;
 }
 
-std::optional<bool> EvidenceSpread::Learn(std::string_view bytes,
-                                          bool passes_on,
-                                          Instant now) {
+std::optional<bool> EvidenceDisseminator::MergeReceived(std::string_view bytes,
+                                                        bool should_relay,
+                                                        Instant now) {
   const auto all = quarantine::DecodeEvidence(bytes, now);
   if (!all)
     return std::nullopt;
@@ -102,21 +106,21 @@
   for (const RequestEvidence& heard : *all) {
     const bool is_news = ledger_.Merge(heard, now);
     is_new |= is_news;
-    const bool is_to_tell = (is_news && passes_on) || KnowsMore(heard);
-    if (is_to_tell && IsForAll(heard.fingerprint))
-      TellAll(heard.fingerprint, now);
+    const bool is_to_tell = (is_news && should_relay) || HasMoreThan(heard);
+    if (is_to_tell && IsFleetWide(heard.fingerprint))
+      Broadcast(heard.fingerprint, now);
   }
   return is_new;
 }
 
-bool EvidenceSpread::KnowsMore(const RequestEvidence& heard) const {
+bool EvidenceDisseminator::HasMoreThan(const RequestEvidence& heard) const {
   const auto known = ledger_.Find(heard.fingerprint);
-  return known && (known->marks.size() > heard.marks.size() ||
+  return known && (known->crashes.size() > heard.crashes.size() ||
                    known->refuted.size() > heard.refuted.size());
 }
 
-std::string EvidenceSpread::All(Instant now) const {
-  return quarantine::EncodeEvidence(ledger_.Telling(), now);
+std::string EvidenceDisseminator::EncodeAll(Instant now) const {
+  return quarantine::EncodeEvidence(ledger_.SharedEvidence(), now);
 }
 
 }  // namespace chestnutport::membership
--- a/src/libs/membership/gossip.cc
+++ b/src/libs/membership/gossip.cc
@@ -18,13 +18,13 @@
 
 Gossip::Gossip(const Member& self,
                const GossipOptions& options,
-               DatagramSeal seal,
+               DatagramAuthenticator authenticator,
                RecordCache& records,
                quarantine::CrashLedger& ledger,
                const base::Random& random,
                base::Instant now)
     : options_(options),
-      seal_(std::move(seal)),
+      authenticator_(std::move(authenticator)),
       records_(records),
       random_(random),
       self_(self.id),
@@ -33,7 +33,7 @@
       budget_(options.bytes_per_second, options.burst_bytes, now),
       acks_(options.acks_per_second, 2 * options.acks_per_second, now),
       last_sequence_(static_cast<uint32_t>(random_())),
-      turn_(static_cast<unsigned>(random_())),
+      probe_turn_(static_cast<unsigned>(random_())),
       next_probe_(now + std::uniform_int_distribution<base::Duration::rep>(
                             0,
                             options.probe_interval.count())(random_) *
@@ -46,36 +46,36 @@
               .incarnation = incarnation_,
               .record = record,
               .hash = record->hash});
-  news_.Push(self_, true, options_.repeats);
+  updates_.Push(self_, true, options_.retransmissions);
 }
 
 base::Instant Gossip::NextRun() const {
   base::Instant next = next_probe_;
   for (const Probe& probe : probes_)
     next = std::min(next, probe.deadline);
-  if (news_.HasFresh())
+  if (updates_.HasUnsent())
     next = std::min(next, next_flush_);
-  if (evidence_.HasFresh())
+  if (evidence_.HasUnsent())
     next = std::min(next, evidence_.next_flush());
   return next;
 }
 
 void Gossip::Run(base::Instant now, GossipOutput& output) {
-  if (left_)
+  if (has_left_)
     return;
-  ForgivePause(now);
-  EndProbes(now, output);
+  CompensateForPause(now);
+  ExpireProbes(now, output);
   if (now >= next_probe_) {
     next_probe_ = std::max(next_probe_ + options_.probe_interval, now);
     ProbeNext(now, output);
-    ProbeForHearsay(now, output);
-    TryAbsent(output);
-    EndSuspicions(now, output);
-    ForgetGone(now);
+    ProbeDoubted(now, output);
+    PingAbsent(output);
+    ExpireSuspicions(now, output);
+    RemoveExpired(now);
   }
-  if (news_.HasFresh() && now >= next_flush_)
+  if (updates_.HasUnsent() && now >= next_flush_)
     Flush(now, output);
-  if (evidence_.HasFresh() && now >= evidence_.next_flush())
+  if (evidence_.HasUnsent() && now >= evidence_.next_flush())
     FlushEvidence(now, output);
   PullIfDue(now, output);
 }
@@ -84,9 +84,9 @@
                      const base::SocketAddress& from,
                      std::string_view datagram,
                      GossipOutput& output) {
-  if (left_)
+  if (has_left_)
     return;
-  const auto opened = seal_.Open(datagram);
+  const auto opened = authenticator_.Verify(datagram);
   if (!opened) {
     ++counters_.unauthenticated;
     return;
@@ -100,38 +100,38 @@
     return;
   heard_at_ = now;
   const bool was_unknown = table_.Find(message->sender) == nullptr;
-  Learn(now,
-        {message->sender, message->incarnation, MemberState::kAlive,
-         message->hash, ""},
-        Source::kDatagram, output);
+  ApplyUpdate(now,
+              {message->sender, message->incarnation, MemberState::kAlive,
+               message->hash, ""},
+              Source::kDatagram, output);
   const MemberEntry* sender = table_.Find(message->sender);
   // A member that was declared gone first has to refute that; until then only
   // what it says of this node counts.
   const bool is_trusted = sender && sender->IsLive();
-  for (const NewsItem& item : message->news) {
+  for (const MemberUpdate& item : message->updates) {
     if (is_trusted || item.id == self_ || item.id == message->sender)
-      Learn(now, item, Source::kDatagram, output);
+      ApplyUpdate(now, item, Source::kDatagram, output);
   }
   if (is_trusted) {
     table_.SetRevision(message->sender, message->revision);
-    HearRevision(now, *message, output);
-    HearEvacuations(now, message->evacuations, output);
-    LearnEvidence(now, message->evidence, true, output);
+    HandleRevision(now, *message, output);
+    MergeEvacuations(now, message->evacuations, output);
+    MergeEvidence(now, message->evidence, true, output);
     CompareDigest(now, *message);
   }
   switch (message->type) {
     case MessageType::kPing:
-      Answer(now, from, *message, was_unknown, output);
+      AnswerPing(now, from, *message, was_unknown, output);
       break;
     case MessageType::kAck:
-    case MessageType::kNotMe:
-      OnAnswer(now, *message, output);
+    case MessageType::kWrongTarget:
+      OnAck(now, *message, output);
       break;
     case MessageType::kPingRequest:
       if (is_trusted)
         OnPingRequest(now, from, *message, output);
       break;
-    case MessageType::kNews:
+    case MessageType::kUpdate:
       break;
   }
 }
@@ -141,50 +141,50 @@
                      GossipOutput& output) {
   GossipMessage ping = MakeMessage(MessageType::kPing, {});
   ping.sequence = ++last_sequence_;
-  ping.news.push_back(ItemOf(*table_.Find(self_), true));
-  SendWithNews(now, address, std::move(ping), output);
+  ping.updates.push_back(MakeUpdate(*table_.Find(self_), true));
+  SendWithUpdates(now, address, std::move(ping), output);
 }
 
 void Gossip::Update(base::Instant now,
                     const Member& self,
                     GossipOutput& output) {
   const SharedRecord record = records_.Intern(MemberRecord::Encode(self).bytes);
-  if (left_ || !record || record == table_.Find(self_)->record)
+  if (has_left_ || !record || record == table_.Find(self_)->record)
     return;
   ++incarnation_;
-  Replace({.id = self_,
-           .incarnation = incarnation_,
-           .revision = revision_,
-           .record = record,
-           .hash = record->hash},
-          output);
-  TellSoon(now, self_, true);
+  ReplaceEntry({.id = self_,
+                .incarnation = incarnation_,
+                .revision = revision_,
+                .record = record,
+                .hash = record->hash},
+               output);
+  EnqueueUpdate(now, self_, true);
   Flush(now, output);
 }
 
 void Gossip::AnnounceRevision(base::Instant now,
                               uint64_t revision,
                               GossipOutput& output) {
-  if (left_ || revision <= revision_)
+  if (has_left_ || revision <= revision_)
     return;
   revision_ = revision;
   table_.SetRevision(self_, revision);
   reported_revision_ = std::max(reported_revision_, revision);
-  const GossipMessage message = MakeMessage(MessageType::kNews, {});
-  budget_.IsOpen(now);
+  const GossipMessage message = MakeMessage(MessageType::kUpdate, {});
+  budget_.HasTokens(now);
   FanOut(message, budget_, output);
 }
 
 void Gossip::Leave(GossipOutput& output) {
-  if (std::exchange(left_, true))
+  if (std::exchange(has_left_, true))
     return;
-  NewsItem item = ItemOf(*table_.Find(self_), false);
+  MemberUpdate item = MakeUpdate(*table_.Find(self_), false);
   item.state = MemberState::kLeft;
-  GossipMessage message = MakeMessage(MessageType::kNews, {});
-  message.news.push_back(item);
+  GossipMessage message = MakeMessage(MessageType::kUpdate, {});
+  message.updates.push_back(item);
   for (size_t i = 0; i < options_.leave_fan_out; ++i) {
-    const bool near = i % 2 == 0 && !table_.near().empty();
-    if (const MemberEntry* to = table_.PickLive(near, random_))
+    const bool local = i % 2 == 0 && !table_.local().empty();
+    if (const MemberEntry* to = table_.PickLive(local, random_))
       Send(to->record->member.gossip_address, message, output);
   }
 }
@@ -199,12 +199,12 @@
   return members;
 }
 
-void Gossip::Learn(base::Instant now,
-                   const NewsItem& item,
-                   Source source,
-                   GossipOutput& output) {
+void Gossip::ApplyUpdate(base::Instant now,
+                         const MemberUpdate& item,
+                         Source source,
+                         GossipOutput& output) {
   if (item.id == self_) {
-    LearnOfSelf(now, item);
+    ApplySelfUpdate(now, item);
     return;
   }
   // That a member is gone is for each node to conclude from a suspicion.
@@ -232,13 +232,13 @@
   }
   if (record)
     entry.record = record;
-  Track(now, entry);
-  Replace(std::move(entry), output);
+  UpdateTimers(now, entry);
+  ReplaceEntry(std::move(entry), output);
   if (source == Source::kDatagram)
-    TellSoon(now, item.id, record != nullptr);
+    EnqueueUpdate(now, item.id, record != nullptr);
 }
 
-void Gossip::LearnOfSelf(base::Instant now, const NewsItem& item) {
+void Gossip::ApplySelfUpdate(base::Instant now, const MemberUpdate& item) {
   const bool is_wrong = item.state != MemberState::kAlive
                             ? item.incarnation >= incarnation_
                             : item.incarnation > incarnation_;
@@ -249,12 +249,12 @@
   MemberEntry entry = *table_.Find(self_);
   entry.incarnation = incarnation_;
   table_.Put(std::move(entry));
-  TellSoon(now, self_, false);
+  EnqueueUpdate(now, self_, false);
 }
 
-void Gossip::HearRevision(base::Instant now,
-                          const GossipMessage& message,
-                          GossipOutput& output) {
+void Gossip::HandleRevision(base::Instant now,
+                            const GossipMessage& message,
+                            GossipOutput& output) {
   if (message.revision <= revision_)
     return;
   const MemberEntry* sender = table_.Find(message.sender);
@@ -276,28 +276,28 @@
     return;
   MemberEntry entry = *old;
   entry.state = state;
-  Track(now, entry);
-  Replace(std::move(entry), output);
+  UpdateTimers(now, entry);
+  ReplaceEntry(std::move(entry), output);
 }
 
-void Gossip::Track(base::Instant now, const MemberEntry& entry) {
+void Gossip::UpdateTimers(base::Instant now, const MemberEntry& entry) {
   if (entry.state == MemberState::kSuspected)
-    suspicions_.try_emplace(entry.id, now + options_.suspicion);
+    suspicions_.try_emplace(entry.id, now + options_.suspicion_timeout);
   else
     suspicions_.erase(entry.id);
   if (entry.state == MemberState::kLeft) {
-    forget_at_[entry.id] = now + kLeftMemory;
+    remove_at_[entry.id] = now + kLeftMemory;
   } else if (entry.state == MemberState::kGone) {
-    forget_at_[entry.id] = now + options_.gone_memory;
+    remove_at_[entry.id] = now + options_.gone_retention;
   } else if (!entry.IsCurrent()) {
     lacks_records_ = true;
-    forget_at_[entry.id] = now + kRecordPatience;
+    remove_at_[entry.id] = now + kRecordPatience;
   } else {
-    forget_at_.erase(entry.id);
+    remove_at_.erase(entry.id);
   }
 }
 
-void Gossip::Replace(MemberEntry entry, GossipOutput& output) {
+void Gossip::ReplaceEntry(MemberEntry entry, GossipOutput& output) {
   const MemberEntry* old = table_.Find(entry.id);
   const bool was_shown = old && old->IsLive() && old->record;
   const bool is_shown = entry.IsLive() && entry.record;
--- a/src/libs/membership/gossip.h
+++ b/src/libs/membership/gossip.h
@@ -16,16 +16,16 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "evacuation/held_evacuations.h"
-#include "membership/byte_budget.h"
-#include "membership/datagram_seal.h"
-#include "membership/evidence_spread.h"
+#include "membership/byte_rate_limiter.h"
+#include "membership/datagram_authenticator.h"
+#include "membership/evidence_disseminator.h"
 #include "membership/gossip_counters.h"
 #include "membership/gossip_message.h"
 #include "membership/gossip_options.h"
 #include "membership/gossip_output.h"
 #include "membership/member_table.h"
-#include "membership/news_queue.h"
 #include "membership/record_cache.h"
+#include "membership/update_queue.h"
 #include "quarantine/crash_ledger.h"
 
 namespace chestnutport::membership {
@@ -35,11 +35,11 @@
 class Gossip {
  public:
   // IP and UDP heads, which the budgets count too.
-  static constexpr size_t kPacketHead = 28;
+  static constexpr size_t kPacketOverhead = 28;
 
   Gossip(const Member& self,
          const GossipOptions& options,
-         DatagramSeal seal,
+         DatagramAuthenticator authenticator,
          RecordCache& records,
          quarantine::CrashLedger& ledger,
          const base::Random& random,
@@ -66,9 +66,9 @@
                         uint64_t revision,
                         GossipOutput& output);
   // The ledger has something new on these requests.
-  void TellEvidence(base::Instant now,
-                    std::span<const base::RequestFingerprint> requests,
-                    GossipOutput& output);
+  void AnnounceEvidence(base::Instant now,
+                        std::span<const base::RequestFingerprint> requests,
+                        GossipOutput& output);
   // This node read from the store which data centres are evacuated.
   void OnEvacuationsRead(base::Instant now,
                          const evacuation::Evacuations& read,
@@ -78,12 +78,12 @@
 
   // The answer to another node's pull; empty if the request is no pull.
   std::string AnswerPull(base::Instant now, std::string_view request) const;
-  void OnPullAnswer(base::Instant now,
-                    std::string_view answer,
-                    GossipOutput& output);
+  void OnPullResponse(base::Instant now,
+                      std::string_view answer,
+                      GossipOutput& output);
   void OnPullFailed(base::Instant now);
 
-  // All live members whose records are known, this node included.
+  // EncodeAll live members whose records are known, this node included.
   std::vector<Member> Members() const;
   const MemberTable& table() const { return table_; }
   const GossipCounters& counters() const { return counters_; }
@@ -100,7 +100,7 @@
     base::NodeId target;
     uint32_t sequence;
     base::Instant deadline;
-    bool indirect;
+    bool is_indirect;
   };
   // A ping that was sent for another node.
   struct Relay {
@@ -114,66 +114,66 @@
   enum class Source { kDatagram, kPull };
 
   // gossip.cc: what is known.
-  void Learn(base::Instant now,
-             const NewsItem& item,
-             Source source,
-             GossipOutput& output);
-  void LearnOfSelf(base::Instant now, const NewsItem& item);
-  void HearRevision(base::Instant now,
-                    const GossipMessage& message,
-                    GossipOutput& output);
+  void ApplyUpdate(base::Instant now,
+                   const MemberUpdate& item,
+                   Source source,
+                   GossipOutput& output);
+  void ApplySelfUpdate(base::Instant now, const MemberUpdate& item);
+  void HandleRevision(base::Instant now,
+                      const GossipMessage& message,
+                      GossipOutput& output);
   void SetState(base::Instant now,
                 base::NodeId id,
                 MemberState state,
                 GossipOutput& output);
   // Keeps the timers that belong to the entry's state.
-  void Track(base::Instant now, const MemberEntry& entry);
-  void Replace(MemberEntry entry, GossipOutput& output);
+  void UpdateTimers(base::Instant now, const MemberEntry& entry);
+  void ReplaceEntry(MemberEntry entry, GossipOutput& output);
 
   // gossip_telling.cc: messages, and telling news.
-  void TellSoon(base::Instant now, base::NodeId id, bool with_record);
-  NewsItem ItemOf(const MemberEntry& entry, bool with_record) const;
+  void EnqueueUpdate(base::Instant now, base::NodeId id, bool with_record);
+  MemberUpdate MakeUpdate(const MemberEntry& entry, bool with_record) const;
   GossipMessage MakeMessage(MessageType type, base::NodeId subject) const;
   void Send(const base::SocketAddress& to,
             const GossipMessage& message,
             GossipOutput& output);
   // Adds news that are repeated.
-  void SendWithNews(base::Instant now,
-                    const base::SocketAddress& to,
-                    GossipMessage message,
-                    GossipOutput& output);
+  void SendWithUpdates(base::Instant now,
+                       const base::SocketAddress& to,
+                       GossipMessage message,
+                       GossipOutput& output);
   void Flush(base::Instant now, GossipOutput& output);
   void FanOut(const GossipMessage& message,
-              ByteBudget& budget,
+              ByteRateLimiter& budget,
               GossipOutput& output);
 
   // gossip_evidence.cc: what servers ran when they ended.
-  void LearnEvidence(base::Instant now,
+  void MergeEvidence(base::Instant now,
                      std::string_view bytes,
-                     bool passes_on,
-                     GossipOutput& output);
-  void TellCollector(base::Instant now,
-                     const MemberEntry& collector,
-                     std::span<const base::RequestFingerprint> requests,
+                     bool should_relay,
                      GossipOutput& output);
+  void SendToCollector(base::Instant now,
+                       const MemberEntry& collector,
+                       std::span<const base::RequestFingerprint> requests,
+                       GossipOutput& output);
   void FlushEvidence(base::Instant now, GossipOutput& output);
 
   // gossip_evacuation.cc: data centres whose servers take no new work.
-  void HearEvacuations(base::Instant now,
-                       const evacuation::Evacuations& heard,
-                       GossipOutput& output);
-  void TellEvacuations(base::Instant now, GossipOutput& output);
+  void MergeEvacuations(base::Instant now,
+                        const evacuation::Evacuations& heard,
+                        GossipOutput& output);
+  void AnnounceEvacuations(base::Instant now, GossipOutput& output);
 
   // gossip_probing.cc: pings, acks, suspicion.
-  void Answer(base::Instant now,
-              const base::SocketAddress& from,
-              const GossipMessage& ping,
-              bool was_unknown,
-              GossipOutput& output);
-  void TellOfItself(base::NodeId id, GossipMessage& message) const;
-  void OnAnswer(base::Instant now,
-                const GossipMessage& answer,
-                GossipOutput& output);
+  void AnswerPing(base::Instant now,
+                  const base::SocketAddress& from,
+                  const GossipMessage& ping,
+                  bool was_unknown,
+                  GossipOutput& output);
+  void AddUnlessAlive(base::NodeId id, GossipMessage& message) const;
+  void OnAck(base::Instant now,
+             const GossipMessage& answer,
+             GossipOutput& output);
   void OnPingRequest(base::Instant now,
                      const base::SocketAddress& from,
                      const GossipMessage& request,
@@ -182,30 +182,28 @@
   void StartProbe(base::Instant now,
                   const MemberEntry& target,
                   GossipOutput& output);
-  void ProbeForHearsay(base::Instant now, GossipOutput& output);
-  void TryAbsent(GossipOutput& output);
-  void EndProbes(base::Instant now, GossipOutput& output);
-  void ProbeThroughHelpers(base::Instant now,
-                           Probe& probe,
-                           GossipOutput& output);
+  void ProbeDoubted(base::Instant now, GossipOutput& output);
+  void PingAbsent(GossipOutput& output);
+  void ExpireProbes(base::Instant now, GossipOutput& output);
+  void ProbeIndirectly(base::Instant now, Probe& probe, GossipOutput& output);
   void Suspect(base::Instant now, base::NodeId id, GossipOutput& output);
-  void EndSuspicions(base::Instant now, GossipOutput& output);
-  void ForgetGone(base::Instant now);
-  void ForgivePause(base::Instant now);
+  void ExpireSuspicions(base::Instant now, GossipOutput& output);
+  void RemoveExpired(base::Instant now);
+  void CompensateForPause(base::Instant now);
 
   // gossip_pulling.cc: mending differences.
   void CompareDigest(base::Instant now, const GossipMessage& message);
   void CompareEvidence(base::Instant now, const GossipMessage& message);
   bool EvidenceDiffersFor(base::Duration patience, base::Instant now) const;
   void PullIfDue(base::Instant now, GossipOutput& output);
-  std::vector<base::NodeId> Wanted() const;
-  void LearnRecord(base::Instant now,
+  std::vector<base::NodeId> MissingRecords() const;
+  void StoreRecord(base::Instant now,
                    std::string_view bytes,
                    GossipOutput& output);
-  void DoubtAbsent(const PullAnswer& answer);
+  void DoubtUnlisted(const PullResponse& answer);
 
   GossipOptions options_;
-  DatagramSeal seal_;
+  DatagramAuthenticator authenticator_;
   RecordCache& records_;
   base::Random random_;
   base::NodeId self_;
@@ -214,23 +212,23 @@
   uint64_t reported_revision_ = 0;
   base::Instant revision_reported_at_;
   MemberTable table_;
-  NewsQueue<base::NodeId> news_;
-  EvidenceSpread evidence_;
+  UpdateQueue<base::NodeId> updates_;
+  EvidenceDisseminator evidence_;
   evacuation::HeldEvacuations evacuations_;
-  ByteBudget budget_;
-  ByteBudget acks_;
+  ByteRateLimiter budget_;
+  ByteRateLimiter acks_;
   GossipCounters counters_;
   std::optional<base::Instant> heard_at_;
-  bool left_ = false;
+  bool has_left_ = false;
 
   uint32_t last_sequence_;
-  unsigned turn_ = 0;
+  unsigned probe_turn_ = 0;
   std::vector<Probe> probes_;
   std::vector<Relay> relays_;
   // Members that another view lacks: they are probed before it is believed.
   std::vector<base::NodeId> doubted_;
   absl::flat_hash_map<base::NodeId, base::Instant> suspicions_;
-  absl::flat_hash_map<base::NodeId, base::Instant> forget_at_;
+  absl::flat_hash_map<base::NodeId, base::Instant> remove_at_;
   base::Instant next_probe_;
   base::Instant next_flush_;
   base::Instant next_sweep_;
@@ -241,10 +239,10 @@
   base::Instant evidence_differed_at_;
 
   base::NodeId pull_from_;
-  base::Instant different_since_;
-  bool differs_ = false;
-  bool pulling_ = false;
-  bool joined_ = false;  // A pull was answered.
+  base::Instant diverged_since_;
+  bool has_diverged_ = false;
+  bool is_pulling_ = false;
+  bool has_joined_ = false;  // A pull was answered.
   bool lacks_records_ = false;
   base::Instant next_pull_;
 };
--- a/src/libs/membership/gossip_message.cc
+++ b/src/libs/membership/gossip_message.cc
@@ -4,7 +4,7 @@
 #include <exception>
 #include <msgpack.hpp>
 
-#include "membership/news_codec.h"
+#include "membership/member_update_codec.h"
 
 namespace chestnutport::membership {
 namespace {
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-size_t GossipMessage::SizeOf(const NewsItem& item) {
+size_t GossipMessage::MaxEncodedSize(const MemberUpdate& item) {
   constexpr size_t kLargestItem = 1 + 9 + 9 + 1 + 5;
   constexpr size_t kBinaryHead = 3;
   return kLargestItem +
@@ -48,9 +48,9 @@
   packer.pack(subject.value);
   packer.pack(sequence);
   packer.pack((static_cast<uint64_t>(address.ip) << 16) | address.port);
-  packer.pack_array(static_cast<uint32_t>(news.size()));
-  for (const NewsItem& item : news)
-    PackNews(packer, item);
+  packer.pack_array(static_cast<uint32_t>(updates.size()));
+  for (const MemberUpdate& item : updates)
+    PackUpdate(packer, item);
   packer.pack(evidence_digest.value_or(0));
   packer.pack_bin(static_cast<uint32_t>(evidence.size()));
   packer.pack_bin_body(evidence.data(), static_cast<uint32_t>(evidence.size()));
@@ -65,7 +65,7 @@
     const msgpack::object* fields = ReadArray(handle.get(), kLeastFields);
     GossipMessage message;
     const auto type = fields[0].as<uint8_t>();
-    if (type > static_cast<uint8_t>(MessageType::kNews))
+    if (type > static_cast<uint8_t>(MessageType::kUpdate))
       return std::nullopt;
     message.type = static_cast<MessageType>(type);
     message.sender.value = fields[1].as<uint64_t>();
@@ -79,9 +79,9 @@
     message.address = {static_cast<uint32_t>(address >> 16),
                        static_cast<uint16_t>(address & UINT16_MAX)};
     const msgpack::object* items = ReadArray(fields[9], 0);
-    message.news.reserve(fields[9].via.array.size);
+    message.updates.reserve(fields[9].via.array.size);
     for (uint32_t i = 0; i < fields[9].via.array.size; ++i)
-      message.news.push_back(ReadNews(items[i]));
+      message.updates.push_back(ReadUpdate(items[i]));
     if (message.sender.value == 0)
       return std::nullopt;
     if (handle.get().via.array.size >= kFieldsWithEvidence) {
--- a/src/libs/membership/gossip_message.h
+++ b/src/libs/membership/gossip_message.h
@@ -12,20 +12,20 @@
 #include "base/node_id.h"
 #include "base/socket_address.h"
 #include "evacuation/evacuations.h"
-#include "membership/news_item.h"
+#include "membership/member_update.h"
 
 namespace chestnutport::membership {
 
 enum class MessageType : uint8_t {
   kPing = 0,         // To `subject`; zero: to whoever holds the address.
   kAck = 1,          // `subject` answered the ping `sequence`.
-  kNotMe = 2,        // Another node than `subject` answered it.
+  kWrongTarget = 2,  // Another node than `subject` answered it.
   kPingRequest = 3,  // Ping `subject` at `address`, and answer `sequence`.
-  kNews = 4,
+  kUpdate = 4,
 };
 
 struct GossipMessage {
-  MessageType type = MessageType::kNews;
+  MessageType type = MessageType::kUpdate;
   base::NodeId sender;
   uint64_t incarnation = 0;  // The sender's.
   uint32_t hash = 0;         // Of the sender's record.
@@ -34,7 +34,7 @@
   base::NodeId subject;
   uint32_t sequence = 0;
   base::SocketAddress address;
-  std::vector<NewsItem> news;
+  std::vector<MemberUpdate> updates;
   // Of requests that servers ran when they ended, as quarantine::EncodeEvidence
   // writes it.
   std::string evidence;
@@ -44,11 +44,13 @@
   evacuation::Evacuations evacuations;
 
   // The bytes that `item` adds to a message, at most.
-  static size_t SizeOf(const NewsItem& item);
+  static size_t MaxEncodedSize(const MemberUpdate& item);
   // The bytes of a message without news and evacuations, at most.
-  static constexpr size_t kLargestHead = 104;
+  static constexpr size_t kMaxBaseSize = 104;
   // The bytes of this message without news, at most.
-  size_t HeadSize() const { return kLargestHead + evacuations.NameBytes(); }
+  size_t SizeWithoutUpdates() const {
+    return kMaxBaseSize + evacuations.NameBytes();
+  }
 
   std::string Encode() const;
   // None if the bytes are no message.
--- a/src/libs/membership/gossip_options.h
+++ b/src/libs/membership/gossip_options.h
@@ -18,24 +18,24 @@
   // After this time more, the member is suspected.
   base::Duration indirect_timeout = std::chrono::milliseconds(500);
   // A suspected member that does not refute it is declared gone.
-  base::Duration suspicion = std::chrono::seconds(6);
+  base::Duration suspicion_timeout = std::chrono::seconds(6);
   // For how long gone members are remembered and tried again.
-  base::Duration gone_memory = std::chrono::minutes(30);
-  // News that arrive within this time travel on together.
+  base::Duration gone_retention = std::chrono::minutes(30);
+  // Item that arrive within this time travel on together.
   base::Duration flush_delay = std::chrono::milliseconds(10);
   // A difference to others that lasts this long is mended by a pull.
-  base::Duration difference_patience = std::chrono::seconds(2);
+  base::Duration divergence_grace = std::chrono::seconds(2);
   base::Duration pull_interval = std::chrono::seconds(5);
-  base::Duration hurried_pull_interval = std::chrono::milliseconds(700);
+  base::Duration fast_pull_interval = std::chrono::milliseconds(700);
   // Running later than planned by more than this means that the process was
   // paused, so nothing can be concluded from missing answers.
-  base::Duration pause = std::chrono::milliseconds(500);
+  base::Duration pause_threshold = std::chrono::milliseconds(500);
 
-  size_t helpers = 3;        // Asked to probe in this node's place.
-  size_t near_fan_out = 2;   // Members of the own data centre told at once.
-  size_t far_fan_out = 1;    // Members of any data centre told at once.
-  int repeats = 4;           // Times that news also travel on pings and acks.
-  size_t leave_fan_out = 8;  // Members told by a node that leaves.
+  size_t indirect_probes = 3;  // Asked to probe in this node's place.
+  size_t local_fan_out = 2;    // Members of the own data centre told at once.
+  size_t fleet_fan_out = 1;    // Members of any data centre told at once.
+  int retransmissions = 4;     // Times that news also travel on pings and acks.
+  size_t leave_fan_out = 8;    // Members told by a node that leaves.
   // Limit on what a node sends beyond the heads of pings and acks.
   size_t bytes_per_second = 5000;
   // Enough for the news of a start of all of some 300 nodes at once, each of
@@ -45,8 +45,8 @@
   // The same for what nodes tell of servers that ended and what those ran. An
   // end with 12 requests running costs the node beside the server 4 kB in a
   // small fleet and 6 kB in a large one, and others nothing.
-  size_t evidence_per_second = 2000;
-  size_t evidence_burst = 20000;
+  size_t evidence_bytes_per_second = 2000;
+  size_t evidence_burst_bytes = 20000;
   // Acks are limited by construction, as another end decides their rate.
   size_t acks_per_second = 100;
 };
--- a/src/libs/membership/gossip_output.h
+++ b/src/libs/membership/gossip_output.h
@@ -17,7 +17,7 @@
 };
 
 // Call the member's control listener with `request`, and give the answer to
-// Gossip::OnPullAnswer(), or tell Gossip::OnPullFailed().
+// Gossip::OnPullResponse(), or tell Gossip::OnPullFailed().
 struct OutgoingPull {
   base::SocketAddress control_address;
   std::string request;
@@ -28,7 +28,7 @@
   MemberState before = MemberState::kGone;  // kGone: it was not known.
 };
 
-struct RevisionHeard {
+struct ReportedRevision {
   uint64_t revision = 0;
   Member from;
 };
@@ -37,11 +37,11 @@
   std::vector<OutgoingDatagram> datagrams;
   std::vector<OutgoingPull> pulls;
   std::vector<MemberChange> changes;
-  std::optional<RevisionHeard> revision;
+  std::optional<ReportedRevision> revision;
   // Something was learnt of requests that servers ran when they ended.
-  bool has_evidence = false;
+  bool evidence_changed = false;
   // Other data centres are evacuated than before, or one is no more.
-  bool has_evacuations = false;
+  bool evacuations_changed = false;
 };
 
 }  // namespace chestnutport::membership
--- a/src/libs/membership/gossip_probing.cc
+++ b/src/libs/membership/gossip_probing.cc
@@ -15,36 +15,36 @@
 
 }  // namespace
 
-void Gossip::Answer(base::Instant now,
-                    const base::SocketAddress& from,
-                    const GossipMessage& ping,
-                    bool was_unknown,
-                    GossipOutput& output) {
-  if (!acks_.IsOpen(now))
+void Gossip::AnswerPing(base::Instant now,
+                        const base::SocketAddress& from,
+                        const GossipMessage& ping,
+                        bool was_unknown,
+                        GossipOutput& output) {
+  if (!acks_.HasTokens(now))
     return;
-  acks_.Spend(1);
+  acks_.Consume(1);
   const bool is_hello = ping.subject.value == 0;
   const bool is_meant = is_hello || ping.subject == self_;
   GossipMessage answer =
-      MakeMessage(is_meant ? MessageType::kAck : MessageType::kNotMe,
+      MakeMessage(is_meant ? MessageType::kAck : MessageType::kWrongTarget,
                   is_meant ? self_ : ping.subject);
   answer.sequence = ping.sequence;
   if (was_unknown || is_hello)
-    answer.news.push_back(ItemOf(*table_.Find(self_), true));
-  TellOfItself(ping.sender, answer);
-  SendWithNews(now, from, std::move(answer), output);
+    answer.updates.push_back(MakeUpdate(*table_.Find(self_), true));
+  AddUnlessAlive(ping.sender, answer);
+  SendWithUpdates(now, from, std::move(answer), output);
 }
 
 // A member that is not believed to be alive must hear so, to refute it.
-void Gossip::TellOfItself(base::NodeId id, GossipMessage& message) const {
+void Gossip::AddUnlessAlive(base::NodeId id, GossipMessage& message) const {
   const MemberEntry* entry = table_.Find(id);
   if (entry && entry->state != MemberState::kAlive)
-    message.news.push_back(ItemOf(*entry, false));
+    message.updates.push_back(MakeUpdate(*entry, false));
 }
 
-void Gossip::OnAnswer(base::Instant now,
-                      const GossipMessage& answer,
-                      GossipOutput& output) {
+void Gossip::OnAck(base::Instant now,
+                   const GossipMessage& answer,
+                   GossipOutput& output) {
   const auto fits = [&](const auto& waiting) {
     return waiting.sequence == answer.sequence &&
            waiting.target == answer.subject;
@@ -60,10 +60,10 @@
   if (probe == probes_.end())
     return;
   probes_.erase(probe);
-  if (answer.type != MessageType::kNotMe)
+  if (answer.type != MessageType::kWrongTarget)
     return;
   SetState(now, answer.subject, MemberState::kLeft, output);
-  TellSoon(now, answer.subject, false);
+  EnqueueUpdate(now, answer.subject, false);
 }
 
 void Gossip::OnPingRequest(base::Instant now,
@@ -83,11 +83,11 @@
 
 void Gossip::ProbeNext(base::Instant now, GossipOutput& output) {
   constexpr unsigned kKinds = 4;
-  const unsigned kind = turn_++ % kKinds;
-  const bool near = kind < 2 && !table_.near().empty();
+  const unsigned kind = probe_turn_++ % kKinds;
+  const bool local = kind < 2 && !table_.local().empty();
   const bool watches = kind % 2 == 0;
-  const MemberEntry* target =
-      watches ? table_.Neighbour(near) : table_.NextInRound(near, random_);
+  const MemberEntry* target = watches ? table_.RingSuccessor(local)
+                                      : table_.NextProbeTarget(local, random_);
   if (target)
     StartProbe(now, *target, output);
 }
@@ -101,12 +101,12 @@
   ping.sequence = ++last_sequence_;
   probes_.push_back(
       {target.id, ping.sequence, now + options_.direct_timeout, false});
-  TellOfItself(target.id, ping);
-  SendWithNews(now, target.record->member.gossip_address, std::move(ping),
-               output);
+  AddUnlessAlive(target.id, ping);
+  SendWithUpdates(now, target.record->member.gossip_address, std::move(ping),
+                  output);
 }
 
-void Gossip::ProbeForHearsay(base::Instant now, GossipOutput& output) {
+void Gossip::ProbeDoubted(base::Instant now, GossipOutput& output) {
   while (!doubted_.empty()) {
     const MemberEntry* entry = table_.Find(doubted_.back());
     doubted_.pop_back();
@@ -117,7 +117,7 @@
   }
 }
 
-void Gossip::TryAbsent(GossipOutput& output) {
+void Gossip::PingAbsent(GossipOutput& output) {
   const std::chrono::duration<double> interval = options_.probe_interval;
   const double chance = kTriesPerSecond * interval.count() *
                         static_cast<double>(table_.absent()) /
@@ -128,27 +128,27 @@
   if (!absent)
     return;
   const base::SocketAddress address = absent->record->member.gossip_address;
-  if (absent->state == MemberState::kLeft && table_.IsTaken(address))
+  if (absent->state == MemberState::kLeft && table_.IsAddressInUse(address))
     return;
   // Waits for no ack: if the member is there, it refutes that it is gone. If
   // another took its address, that one says so; it may know nobody yet, and is
   // told who asks.
   GossipMessage ping = MakeMessage(MessageType::kPing, absent->id);
   ping.sequence = ++last_sequence_;
-  ping.news.push_back(ItemOf(*table_.Find(self_), true));
-  TellOfItself(absent->id, ping);
+  ping.updates.push_back(MakeUpdate(*table_.Find(self_), true));
+  AddUnlessAlive(absent->id, ping);
   Send(address, ping, output);
 }
 
-void Gossip::EndProbes(base::Instant now, GossipOutput& output) {
+void Gossip::ExpireProbes(base::Instant now, GossipOutput& output) {
   std::vector<base::NodeId> silent;
   for (Probe& probe : probes_) {
     if (now < probe.deadline)
       continue;
-    if (probe.indirect)
+    if (probe.is_indirect)
       silent.push_back(probe.target);
     else
-      ProbeThroughHelpers(now, probe, output);
+      ProbeIndirectly(now, probe, output);
   }
   std::erase_if(probes_,
                 [&](const Probe& probe) { return now >= probe.deadline; });
@@ -156,10 +156,10 @@
     Suspect(now, id, output);
 }
 
-void Gossip::ProbeThroughHelpers(base::Instant now,
-                                 Probe& probe,
-                                 GossipOutput& output) {
-  probe.indirect = true;
+void Gossip::ProbeIndirectly(base::Instant now,
+                             Probe& probe,
+                             GossipOutput& output) {
+  probe.is_indirect = true;
   probe.deadline = now + options_.indirect_timeout;
   const MemberEntry* target = table_.Find(probe.target);
   if (!target || !target->record)
@@ -171,9 +171,9 @@
   GossipMessage request = MakeMessage(MessageType::kPingRequest, probe.target);
   request.sequence = probe.sequence;
   request.address = address;
-  for (size_t i = 0; i < options_.helpers; ++i) {
-    const bool near = i == 0 && !table_.near().empty();
-    const MemberEntry* helper = table_.PickLive(near, random_);
+  for (size_t i = 0; i < options_.indirect_probes; ++i) {
+    const bool local = i == 0 && !table_.local().empty();
+    const MemberEntry* helper = table_.PickLive(local, random_);
     if (helper && helper->id != probe.target)
       Send(helper->record->member.gossip_address, request, output);
   }
@@ -185,13 +185,13 @@
     return;
   ++counters_.suspected;
   SetState(now, id, MemberState::kSuspected, output);
-  TellSoon(now, id, false);
-  GossipMessage message = MakeMessage(MessageType::kNews, id);
-  TellOfItself(id, message);
+  EnqueueUpdate(now, id, false);
+  GossipMessage message = MakeMessage(MessageType::kUpdate, id);
+  AddUnlessAlive(id, message);
   Send(table_.Find(id)->record->member.gossip_address, message, output);
 }
 
-void Gossip::EndSuspicions(base::Instant now, GossipOutput& output) {
+void Gossip::ExpireSuspicions(base::Instant now, GossipOutput& output) {
   std::vector<base::NodeId> ended;
   for (const auto& [id, deadline] : suspicions_) {
     if (now >= deadline)
@@ -201,19 +201,19 @@
     SetState(now, id, MemberState::kGone, output);
 }
 
-void Gossip::ForgetGone(base::Instant now) {
+void Gossip::RemoveExpired(base::Instant now) {
   if (now < next_sweep_)
     return;
   next_sweep_ = now + kSweepInterval;
   std::erase_if(relays_,
                 [now](const Relay& relay) { return now >= relay.deadline; });
   std::vector<base::NodeId> ended;
-  for (const auto& [id, when] : forget_at_) {
+  for (const auto& [id, when] : remove_at_) {
     if (now >= when)
       ended.push_back(id);
   }
   for (const base::NodeId& id : ended) {
-    forget_at_.erase(id);
+    remove_at_.erase(id);
     const MemberEntry* entry = table_.Find(id);
     if (entry && (!entry->IsLive() || !entry->record))
       table_.Remove(id);
@@ -221,9 +221,9 @@
 }
 
 // After a pause of this process, missing answers are its own fault.
-void Gossip::ForgivePause(base::Instant now) {
+void Gossip::CompensateForPause(base::Instant now) {
   const base::Instant planned = NextRun();
-  if (now <= planned + options_.pause)
+  if (now <= planned + options_.pause_threshold)
     return;
   probes_.clear();
   relays_.clear();
--- a/src/libs/membership/gossip_pulling.cc
+++ b/src/libs/membership/gossip_pulling.cc
@@ -20,11 +20,11 @@
 void Gossip::CompareDigest(base::Instant now, const GossipMessage& message) {
   CompareEvidence(now, message);
   if (message.digest == table_.digest()) {
-    differs_ = false;
+    has_diverged_ = false;
     return;
   }
-  if (!std::exchange(differs_, true))
-    different_since_ = now;
+  if (!std::exchange(has_diverged_, true))
+    diverged_since_ = now;
   pull_from_ = message.sender;
 }
 
@@ -34,7 +34,7 @@
   const uint64_t own = evidence_.digest();
   if (message.evidence_digest.value_or(own) == own)
     return;
-  if (now - evidence_differed_at_ >= options_.difference_patience)
+  if (now - evidence_differed_at_ >= options_.divergence_grace)
     evidence_differs_since_ = now;
   evidence_differed_at_ = now;
   evidence_from_ = message.sender;
@@ -48,11 +48,12 @@
 
 void Gossip::PullIfDue(base::Instant now, GossipOutput& output) {
   const bool is_lasting =
-      differs_ && now - different_since_ >= options_.difference_patience;
+      has_diverged_ && now - diverged_since_ >= options_.divergence_grace;
   const bool lacks_evidence =
-      EvidenceDiffersFor(options_.difference_patience, now);
-  const bool needs = lacks_records_ || !joined_ || is_lasting || lacks_evidence;
-  if (pulling_ || now < next_pull_ || !needs)
+      EvidenceDiffersFor(options_.divergence_grace, now);
+  const bool needs =
+      lacks_records_ || !has_joined_ || is_lasting || lacks_evidence;
+  if (is_pulling_ || now < next_pull_ || !needs)
     return;
   const MemberEntry* from =
       table_.Find(lacks_evidence ? evidence_from_ : pull_from_);
@@ -60,9 +61,10 @@
     from = table_.PickLive(false, random_);
   if (!from)
     return;
-  PullRequest request{self_, table_.digests(), Wanted(), evidence_.digest()};
-  lacks_records_ = !request.wanted.empty();
-  pulling_ = true;
+  PullRequest request{self_, table_.digests(), MissingRecords(),
+                      evidence_.digest()};
+  lacks_records_ = !request.wanted_records.empty();
+  is_pulling_ = true;
   ++counters_.pulls;
   const double part = std::uniform_real_distribution<>(0.5, 1.5)(random_);
   next_pull_ = now + std::chrono::duration_cast<base::Duration>(
@@ -71,25 +73,25 @@
       {from->record->member.control_address, request.Encode()});
 }
 
-std::vector<base::NodeId> Gossip::Wanted() const {
-  std::vector<base::NodeId> wanted;
+std::vector<base::NodeId> Gossip::MissingRecords() const {
+  std::vector<base::NodeId> wanted_records;
   if (!lacks_records_)
-    return wanted;
+    return wanted_records;
   for (const MemberEntry& entry : table_.entries()) {
     if (entry.IsLive() && !entry.IsCurrent())
-      wanted.push_back(entry.id);
-    if (wanted.size() == kLargestWanted)
+      wanted_records.push_back(entry.id);
+    if (wanted_records.size() == kLargestWanted)
       break;
   }
-  return wanted;
+  return wanted_records;
 }
 
 std::string Gossip::AnswerPull(base::Instant now,
                                std::string_view bytes) const {
   const auto request = PullRequest::Decode(bytes);
-  if (!request || left_)
+  if (!request || has_left_)
     return "";
-  PullAnswer answer{.sender = self_};
+  PullResponse answer{.sender = self_};
   std::array<bool, kViewParts> differs{};
   for (size_t i = 0; i < kViewParts; ++i) {
     differs[i] = request->digests[i] != table_.digests()[i];
@@ -100,44 +102,44 @@
     const bool is_sender = entry.id == request->sender;
     if (is_sender ? entry.state != MemberState::kAlive
                   : entry.IsLive() && differs[MemberTable::PartOf(entry.id)]) {
-      answer.members.push_back(ItemOf(entry, false));
+      answer.members.push_back(MakeUpdate(entry, false));
     }
   }
-  for (const base::NodeId& id : request->wanted) {
+  for (const base::NodeId& id : request->wanted_records) {
     const MemberEntry* entry = table_.Find(id);
     if (entry && entry->record && answer.records.size() < kLargestWanted)
       answer.records.push_back(entry->record->bytes);
   }
   const uint64_t evidence = evidence_.digest();
   if (request->evidence_digest.value_or(evidence) != evidence)
-    answer.evidence = evidence_.All(now);
+    answer.evidence = evidence_.EncodeAll(now);
   return answer.Encode();
 }
 
-void Gossip::OnPullAnswer(base::Instant now,
-                          std::string_view bytes,
-                          GossipOutput& output) {
-  const auto answer = PullAnswer::Decode(bytes);
-  if (!answer || left_) {
+void Gossip::OnPullResponse(base::Instant now,
+                            std::string_view bytes,
+                            GossipOutput& output) {
+  const auto answer = PullResponse::Decode(bytes);
+  if (!answer || has_left_) {
     OnPullFailed(now);
     return;
   }
-  pulling_ = false;
-  joined_ = true;
-  differs_ = false;
+  is_pulling_ = false;
+  has_joined_ = true;
+  has_diverged_ = false;
   const size_t changes_before = output.changes.size();
   for (const std::string& record : answer->records)
-    LearnRecord(now, record, output);
+    StoreRecord(now, record, output);
   const bool got_records = output.changes.size() > changes_before;
   const size_t known_before = table_.entries().size();
-  for (const NewsItem& item : answer->members)
-    Learn(now, item, Source::kPull, output);
-  LearnEvidence(now, answer->evidence, false, output);
+  for (const MemberUpdate& item : answer->members)
+    ApplyUpdate(now, item, Source::kPull, output);
+  MergeEvidence(now, answer->evidence, false, output);
   evidence_differs_since_ = now;
-  DoubtAbsent(*answer);
+  DoubtUnlisted(*answer);
   const size_t learnt = output.changes.size() - changes_before +
                         table_.entries().size() - known_before;
-  lacks_records_ = !Wanted().empty();
+  lacks_records_ = !MissingRecords().empty();
   if (lacks_records_ && (got_records || learnt > 0)) {
     pull_from_ = answer->sender;
     next_pull_ = now;
@@ -149,18 +151,18 @@
       pull_from_ = {};
     const double part = std::uniform_real_distribution<>(0.5, 1.5)(random_);
     next_pull_ = now + std::chrono::duration_cast<base::Duration>(
-                           part * options_.hurried_pull_interval);
-    different_since_ = now - options_.difference_patience;
+                           part * options_.fast_pull_interval);
+    diverged_since_ = now - options_.divergence_grace;
   }
 }
 
 void Gossip::OnPullFailed(base::Instant now) {
-  pulling_ = false;
+  is_pulling_ = false;
   pull_from_ = {};
-  next_pull_ = now + options_.hurried_pull_interval;
+  next_pull_ = now + options_.fast_pull_interval;
 }
 
-void Gossip::LearnRecord(base::Instant now,
+void Gossip::StoreRecord(base::Instant now,
                          std::string_view bytes,
                          GossipOutput& output) {
   const SharedRecord record = records_.Intern(bytes);
@@ -169,18 +171,18 @@
     return;
   MemberEntry entry = *old;
   entry.record = record;
-  Track(now, entry);
-  Replace(std::move(entry), output);
+  UpdateTimers(now, entry);
+  ReplaceEntry(std::move(entry), output);
 }
 
 // What another view lacks is probed before it is believed to be gone: after a
 // healed partition each side lacks many members that are well.
-void Gossip::DoubtAbsent(const PullAnswer& answer) {
+void Gossip::DoubtUnlisted(const PullResponse& answer) {
   std::array<bool, kViewParts> differs{};
   for (const uint8_t part : answer.parts)
     differs[part % kViewParts] = true;
   absl::flat_hash_map<base::NodeId, bool> listed;
-  for (const NewsItem& item : answer.members)
+  for (const MemberUpdate& item : answer.members)
     listed.emplace(item.id, true);
   for (const MemberEntry& entry : table_.entries()) {
     if (doubted_.size() >= kLargestDoubted)
--- a/src/libs/membership/member_record.cc
+++ b/src/libs/membership/member_record.cc
@@ -167,7 +167,7 @@
 }
 
 std::optional<MemberRecord> MemberRecord::Decode(std::string_view bytes) {
-  if (bytes.empty() || bytes.size() > kLargestSize)
+  if (bytes.empty() || bytes.size() > kMaxSize)
     return std::nullopt;
   try {
     const auto handle = msgpack::unpack(bytes.data(), bytes.size());
--- a/src/libs/membership/member_record.h
+++ b/src/libs/membership/member_record.h
@@ -15,7 +15,7 @@
 
 struct MemberRecord {
   // Longer records are not accepted: several must fit one datagram.
-  static constexpr size_t kLargestSize = 512;
+  static constexpr size_t kMaxSize = 512;
 
   Member member;  // Without incarnation, state and revision.
   std::string bytes;
--- a/src/libs/membership/member_table.cc
+++ b/src/libs/membership/member_table.cc
@@ -51,13 +51,13 @@
       index_.try_emplace(entry.id, static_cast<Index>(entries_.size()));
   if (is_new) {
     entries_.push_back(std::move(entry));
-    Count(entries_.back(), 1);
+    UpdateTotals(entries_.back(), 1);
     return;
   }
   MemberEntry& old = entries_[found->second];
-  Count(old, -1);
+  UpdateTotals(old, -1);
   old = std::move(entry);
-  Count(old, 1);
+  UpdateTotals(old, 1);
 }
 
 void MemberTable::SetRevision(base::NodeId id, uint64_t revision) {
@@ -71,7 +71,7 @@
   if (found == index_.end())
     return;
   const Index place = found->second;
-  Count(entries_[place], -1);
+  UpdateTotals(entries_[place], -1);
   index_.erase(found);
   if (place + 1 != entries_.size()) {
     entries_[place] = std::move(entries_.back());
@@ -88,7 +88,7 @@
   return !entry.IsLive() && entry.record;
 }
 
-void MemberTable::Count(const MemberEntry& entry, int sign) {
+void MemberTable::UpdateTotals(const MemberEntry& entry, int sign) {
   if (entry.IsLive()) {
     const uint64_t digest = DigestOf(entry);
     digest_ ^= digest;
@@ -102,16 +102,16 @@
   if (entry.record->member.data_centre != data_centre_)
     return;
   if (sign > 0)
-    near_.push_back(entry.id);
+    local_.push_back(entry.id);
   else
-    near_.erase(std::ranges::find(near_, entry.id));
+    local_.erase(std::ranges::find(local_, entry.id));
 }
 
-const MemberEntry* MemberTable::PickLive(bool near,
+const MemberEntry* MemberTable::PickLive(bool local,
                                          base::Random& random) const {
-  if (near)
-    return near_.empty() ? nullptr
-                         : Find(near_[PickIndex(near_.size(), random)]);
+  if (local)
+    return local_.empty() ? nullptr
+                          : Find(local_[PickIndex(local_.size(), random)]);
   for (int i = 0; i < kTries && live_ > 0; ++i) {
     const MemberEntry& entry = entries_[PickIndex(entries_.size(), random)];
     if (IsTarget(entry))
@@ -132,15 +132,17 @@
   return nullptr;
 }
 
-bool MemberTable::IsTaken(const base::SocketAddress& gossip_address) const {
+bool MemberTable::IsAddressInUse(
+    const base::SocketAddress& gossip_address) const {
   return std::ranges::any_of(entries_, [&](const MemberEntry& entry) {
     return entry.IsLive() && entry.record &&
            entry.record->member.gossip_address == gossip_address;
   });
 }
 
-std::vector<const MemberEntry*> MemberTable::Choose(uint64_t key,
-                                                    size_t count) const {
+std::vector<const MemberEntry*> MemberTable::PickByRendezvousHash(
+    uint64_t key,
+    size_t count) const {
   using Ranked = std::pair<uint64_t, const MemberEntry*>;
   std::vector<Ranked> best;  // The highest first.
   for (const MemberEntry& entry : entries_) {
@@ -162,18 +164,19 @@
   return chosen;
 }
 
-const MemberEntry* MemberTable::NextInRound(bool near, base::Random& random) {
-  return near ? NextNear(random) : NextFar(random);
+const MemberEntry* MemberTable::NextProbeTarget(bool local,
+                                                base::Random& random) {
+  return local ? NextLocal(random) : NextInFleet(random);
 }
 
-const MemberEntry* MemberTable::NextNear(base::Random& random) {
-  if (near_round_.empty()) {
-    near_round_ = near_;
-    std::ranges::shuffle(near_round_, random);
+const MemberEntry* MemberTable::NextLocal(base::Random& random) {
+  if (local_round_.empty()) {
+    local_round_ = local_;
+    std::ranges::shuffle(local_round_, random);
   }
-  while (!near_round_.empty()) {
-    const MemberEntry* entry = Find(near_round_.back());
-    near_round_.pop_back();
+  while (!local_round_.empty()) {
+    const MemberEntry* entry = Find(local_round_.back());
+    local_round_.pop_back();
     if (entry && IsTarget(*entry) && entry->state == MemberState::kAlive)
       return entry;
   }
@@ -182,19 +185,19 @@
 
 // Views that were pulled have the same order in all nodes, so each node begins
 // its round elsewhere: else all would probe the same member at a time.
-const MemberEntry* MemberTable::NextFar(base::Random& random) {
-  if (!std::exchange(far_began_, live_ > 0))
-    far_turn_ = PickIndex(entries_.size(), random);
+const MemberEntry* MemberTable::NextInFleet(base::Random& random) {
+  if (!std::exchange(has_fleet_position_, live_ > 0))
+    fleet_position_ = PickIndex(entries_.size(), random);
   for (size_t i = 0; i < entries_.size(); ++i) {
-    far_turn_ = (far_turn_ + 1) % entries_.size();
-    const MemberEntry& entry = entries_[far_turn_];
+    fleet_position_ = (fleet_position_ + 1) % entries_.size();
+    const MemberEntry& entry = entries_[fleet_position_];
     if (IsTarget(entry) && entry.state == MemberState::kAlive)
       return &entry;
   }
   return nullptr;
 }
 
-const MemberEntry* MemberTable::Neighbour(bool near) const {
+const MemberEntry* MemberTable::RingSuccessor(bool local) const {
   const MemberEntry* next = nullptr;
   // The distance from this node around the ring of identities.
   const auto consider = [&](const MemberEntry& entry) {
@@ -203,8 +206,8 @@
     if (!next || entry.id.value - self_.value < next->id.value - self_.value)
       next = &entry;
   };
-  if (near) {
-    for (const base::NodeId& id : near_)
+  if (local) {
+    for (const base::NodeId& id : local_)
       consider(*Find(id));
   } else {
     std::ranges::for_each(entries_, consider);
--- a/src/libs/membership/member_table.h
+++ b/src/libs/membership/member_table.h
@@ -1,5 +1,5 @@
-// All members that one node knows, itself included. A member is live if it is
-// alive or suspected.
+// EncodeAll members that one node knows, itself included. A member is live if
+// it is alive or suspected.
 #ifndef MEMBERSHIP_MEMBER_TABLE_H_
 #define MEMBERSHIP_MEMBER_TABLE_H_
 
@@ -48,22 +48,23 @@
   // Members with a record that are gone or have left.
   size_t absent() const { return absent_; }
   // Of those, the ones in this node's data centre.
-  const std::vector<base::NodeId>& near() const { return near_; }
+  const std::vector<base::NodeId>& local() const { return local_; }
 
   // Each is null if there is no such member.
   // A random live member; `near` keeps to this node's data centre.
-  const MemberEntry* PickLive(bool near, base::Random& random) const;
+  const MemberEntry* PickLive(bool local, base::Random& random) const;
   const MemberEntry* PickAbsent(base::Random& random) const;
   // Whether a live member is known to be reached at the address.
-  bool IsTaken(const base::SocketAddress& gossip_address) const;
+  bool IsAddressInUse(const base::SocketAddress& gossip_address) const;
   // The live members, this node included, that have the highest rendezvous
   // hashes for `key`; nearly the same in views that differ a little.
-  std::vector<const MemberEntry*> Choose(uint64_t key, size_t count) const;
+  std::vector<const MemberEntry*> PickByRendezvousHash(uint64_t key,
+                                                       size_t count) const;
   // The next member of a round through all that are not suspected.
-  const MemberEntry* NextInRound(bool near, base::Random& random);
+  const MemberEntry* NextProbeTarget(bool local, base::Random& random);
   // The member after this node in the order of identities that is not
   // suspected: this node is the one that watches it all the time.
-  const MemberEntry* Neighbour(bool near) const;
+  const MemberEntry* RingSuccessor(bool local) const;
 
   // Of all live members, whole and by parts; equal if two views are.
   uint64_t digest() const { return digest_; }
@@ -76,18 +77,18 @@
   bool IsTarget(const MemberEntry& entry) const;
   static bool IsAbsent(const MemberEntry& entry);
   // Adds an entry to the counts and digests, or takes it out.
-  void Count(const MemberEntry& entry, int sign);
-  const MemberEntry* NextNear(base::Random& random);
-  const MemberEntry* NextFar(base::Random& random);
+  void UpdateTotals(const MemberEntry& entry, int sign);
+  const MemberEntry* NextLocal(base::Random& random);
+  const MemberEntry* NextInFleet(base::Random& random);
 
   base::NodeId self_;
   std::string data_centre_;
   std::vector<MemberEntry> entries_;
   absl::flat_hash_map<base::NodeId, Index> index_;
-  std::vector<base::NodeId> near_;
-  std::vector<base::NodeId> near_round_;
-  size_t far_turn_ = 0;
-  bool far_began_ = false;
+  std::vector<base::NodeId> local_;
+  std::vector<base::NodeId> local_round_;
+  size_t fleet_position_ = 0;
+  bool has_fleet_position_ = false;
   size_t live_ = 0;
   size_t absent_ = 0;
   uint64_t digest_ = 0;
--- a/src/libs/membership/news_item.h
+++ b/src/libs/membership/member_update.h
@@ -1,6 +1,6 @@
 // One statement about one member, as it travels.
-#ifndef MEMBERSHIP_NEWS_ITEM_H_
-#define MEMBERSHIP_NEWS_ITEM_H_
+#ifndef MEMBERSHIP_MEMBER_UPDATE_H_
+#define MEMBERSHIP_MEMBER_UPDATE_H_
 
 #include <cstdint>
 #include <string>
@@ -10,16 +10,16 @@
 
 namespace chestnutport::membership {
 
-struct NewsItem {
+struct MemberUpdate {
   base::NodeId id;
   uint64_t incarnation = 0;
   MemberState state = MemberState::kAlive;
   uint32_t hash = 0;   // Of the member's record.
   std::string record;  // Its bytes; empty: left out.
 
-  bool operator==(const NewsItem&) const = default;
+  bool operator==(const MemberUpdate&) const = default;
 };
 
 }  // namespace chestnutport::membership
 
-#endif  // MEMBERSHIP_NEWS_ITEM_H_
+#endif  // MEMBERSHIP_MEMBER_UPDATE_H_
--- a/src/libs/membership/news_codec.h
+++ b/src/libs/membership/member_update_codec.h
@@ -1,19 +1,19 @@
 // The MessagePack form of news, shared by datagrams and pulls.
-#ifndef MEMBERSHIP_NEWS_CODEC_H_
-#define MEMBERSHIP_NEWS_CODEC_H_
+#ifndef MEMBERSHIP_MEMBER_UPDATE_CODEC_H_
+#define MEMBERSHIP_MEMBER_UPDATE_CODEC_H_
 
 #include <msgpack.hpp>
 #include <string_view>
 
-#include "membership/news_item.h"
+#include "membership/member_update.h"
 
 namespace chestnutport::membership {
 
-inline constexpr uint32_t kNewsFields = 4;
+inline constexpr uint32_t kUpdateFields = 4;
 
 template <typename Buffer>
-void PackNews(msgpack::packer<Buffer>& packer, const NewsItem& item) {
-  packer.pack_array(kNewsFields + (item.record.empty() ? 0 : 1));
+void PackUpdate(msgpack::packer<Buffer>& packer, const MemberUpdate& item) {
+  packer.pack_array(kUpdateFields + (item.record.empty() ? 0 : 1));
   packer.pack(item.id.value);
   packer.pack(item.incarnation);
   packer.pack(static_cast<uint8_t>(item.state));
@@ -40,9 +40,9 @@
 }
 
 // Throws msgpack::type_error.
-inline NewsItem ReadNews(const msgpack::object& object) {
-  const msgpack::object* fields = ReadArray(object, kNewsFields);
-  NewsItem item;
+inline MemberUpdate ReadUpdate(const msgpack::object& object) {
+  const msgpack::object* fields = ReadArray(object, kUpdateFields);
+  MemberUpdate item;
   item.id.value = fields[0].as<uint64_t>();
   item.incarnation = fields[1].as<uint64_t>();
   const auto state = fields[2].as<uint8_t>();
@@ -50,26 +50,26 @@
     throw msgpack::type_error();
   item.state = static_cast<MemberState>(state);
   item.hash = fields[3].as<uint32_t>();
-  if (object.via.array.size > kNewsFields)
-    item.record = ReadBytes(fields[kNewsFields]);
+  if (object.via.array.size > kUpdateFields)
+    item.record = ReadBytes(fields[kUpdateFields]);
   return item;
 }
 
 // Bytes of a text or of a binary part.
-inline constexpr size_t kLargestPart = 1024;
+inline constexpr size_t kMaxPartSize = 1024;
 
 // Parts refer to the input, which must outlive the handle.
 inline msgpack::object_handle Unpack(std::string_view bytes,
                                      size_t largest_array,
-                                     size_t largest_part = kLargestPart) {
+                                     size_t largest_part = kMaxPartSize) {
   constexpr size_t kDepth = 8;
   return msgpack::unpack(
       bytes.data(), bytes.size(),
       [](msgpack::type::object_type, size_t, void*) { return true; }, nullptr,
-      msgpack::unpack_limit(largest_array, kLargestPart, kLargestPart,
-                            largest_part, kLargestPart, kDepth));
+      msgpack::unpack_limit(largest_array, kMaxPartSize, kMaxPartSize,
+                            largest_part, kMaxPartSize, kDepth));
 }
 
 }  // namespace chestnutport::membership
 
-#endif  // MEMBERSHIP_NEWS_CODEC_H_
+#endif  // MEMBERSHIP_MEMBER_UPDATE_CODEC_H_
--- a/src/libs/membership/pull_message.cc
+++ b/src/libs/membership/pull_message.cc
@@ -3,7 +3,7 @@
 #include <exception>
 #include <msgpack.hpp>
 
-#include "membership/news_codec.h"
+#include "membership/member_update_codec.h"
 #include "quarantine/crash_ledger.h"
 #include "quarantine/evidence_codec.h"
 
@@ -18,7 +18,8 @@
 constexpr size_t kLargestArray = 16384;
 
 constexpr size_t kLargestEvidence =
-    quarantine::CrashLedger::kMostTold * quarantine::kLargestEncoded + 16;
+    quarantine::CrashLedger::kMaxSharedRequests * quarantine::kMaxEncodedSize +
+    16;
 
 std::string ToString(const msgpack::sbuffer& buffer) {
   return std::string(buffer.data(), buffer.size());
@@ -34,8 +35,8 @@
   packer.pack_array(kViewParts);
   for (const uint64_t digest : digests)
     packer.pack(digest);
-  packer.pack_array(static_cast<uint32_t>(wanted.size()));
-  for (const base::NodeId& id : wanted)
+  packer.pack_array(static_cast<uint32_t>(wanted_records.size()));
+  for (const base::NodeId& id : wanted_records)
     packer.pack(id.value);
   packer.pack(evidence_digest.value_or(0));
   return ToString(buffer);
@@ -51,9 +52,9 @@
     const msgpack::object* digests = ReadArray(fields[1], kViewParts);
     for (size_t i = 0; i < kViewParts; ++i)
       request.digests[i] = digests[i].as<uint64_t>();
-    const msgpack::object* wanted = ReadArray(fields[2], 0);
+    const msgpack::object* wanted_records = ReadArray(fields[2], 0);
     for (uint32_t i = 0; i < fields[2].via.array.size; ++i)
-      request.wanted.push_back({wanted[i].as<uint64_t>()});
+      request.wanted_records.push_back({wanted_records[i].as<uint64_t>()});
     if (handle.get().via.array.size >= kRequestFields)
       request.evidence_digest = fields[kLeastRequestFields].as<uint64_t>();
     return request;
@@ -62,7 +63,7 @@
   }
 }
 
-std::string PullAnswer::Encode() const {
+std::string PullResponse::Encode() const {
   msgpack::sbuffer buffer;
   msgpack::packer<msgpack::sbuffer> packer(buffer);
   packer.pack_array(kAnswerFields);
@@ -71,8 +72,8 @@
   for (const uint8_t part : parts)
     packer.pack(part);
   packer.pack_array(static_cast<uint32_t>(members.size()));
-  for (const NewsItem& item : members)
-    PackNews(packer, item);
+  for (const MemberUpdate& item : members)
+    PackUpdate(packer, item);
   packer.pack_array(static_cast<uint32_t>(records.size()));
   for (const std::string& record : records) {
     packer.pack_bin(static_cast<uint32_t>(record.size()));
@@ -83,18 +84,18 @@
   return ToString(buffer);
 }
 
-std::optional<PullAnswer> PullAnswer::Decode(std::string_view bytes) {
+std::optional<PullResponse> PullResponse::Decode(std::string_view bytes) {
   try {
     const auto handle = Unpack(bytes, kLargestArray, kLargestEvidence);
     const msgpack::object* fields = ReadArray(handle.get(), kLeastAnswerFields);
-    PullAnswer answer;
+    PullResponse answer;
     answer.sender.value = fields[0].as<uint64_t>();
     const msgpack::object* parts = ReadArray(fields[1], 0);
     for (uint32_t i = 0; i < fields[1].via.array.size; ++i)
       answer.parts.push_back(parts[i].as<uint8_t>());
     const msgpack::object* members = ReadArray(fields[2], 0);
     for (uint32_t i = 0; i < fields[2].via.array.size; ++i)
-      answer.members.push_back(ReadNews(members[i]));
+      answer.members.push_back(ReadUpdate(members[i]));
     const msgpack::object* records = ReadArray(fields[3], 0);
     for (uint32_t i = 0; i < fields[3].via.array.size; ++i)
       answer.records.emplace_back(ReadBytes(records[i]));
--- a/src/libs/membership/pull_message.h
+++ b/src/libs/membership/pull_message.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "base/node_id.h"
-#include "membership/news_item.h"
+#include "membership/member_update.h"
 
 namespace chestnutport::membership {
 
@@ -23,7 +23,8 @@
 struct PullRequest {
   base::NodeId sender;
   ViewDigests digests{};
-  std::vector<base::NodeId> wanted;  // Members whose records are asked for.
+  std::vector<base::NodeId>
+      wanted_records;  // Members whose records are asked for.
   // See GossipMessage.
   std::optional<uint64_t> evidence_digest;
 
@@ -31,15 +32,15 @@
   static std::optional<PullRequest> Decode(std::string_view bytes);
 };
 
-struct PullAnswer {
+struct PullResponse {
   base::NodeId sender;
-  std::vector<uint8_t> parts;        // Those that differ.
-  std::vector<NewsItem> members;     // All live members in those parts.
-  std::vector<std::string> records;  // Of the wanted members, as bytes.
+  std::vector<uint8_t> parts;         // Those that differ.
+  std::vector<MemberUpdate> members;  // EncodeAll live members in those parts.
+  std::vector<std::string> records;   // Of the wanted members, as bytes.
   std::string evidence;  // If the digests differ; see GossipMessage.
 
   std::string Encode() const;
-  static std::optional<PullAnswer> Decode(std::string_view bytes);
+  static std::optional<PullResponse> Decode(std::string_view bytes);
 };
 
 }  // namespace chestnutport::membership
--- a/src/libs/node/control.cc
+++ b/src/libs/node/control.cc
@@ -69,7 +69,7 @@
                          settings.longest_store_wait,
                          random,
                          [this](const evacuation::Evacuations& read) {
-                           membership_.TellEvacuations(read);
+                           membership_.AnnounceEvacuations(read);
                          }),
       evacuation_writer_(store_, adapters.evacuation),
       own_server_(
@@ -168,7 +168,7 @@
   membership_.OnEvacuations(
       [this](const evacuation::Evacuations& held) { OnEvacuations(held); });
   quarantine_.OnTell([this](std::span<const base::RequestFingerprint> told) {
-    membership_.TellEvidence(told);
+    membership_.AnnounceEvidence(told);
   });
   membership_.Start(self_, [this](std::vector<membership::Member> members) {
     OnMembers(std::move(members));
--- a/src/libs/operators/operator_quarantine.cc
+++ b/src/libs/operators/operator_quarantine.cc
@@ -22,12 +22,12 @@
               const fleet::HeldRequest& held,
               base::Instant now) {
   json ends = json::array();
-  for (const quarantine::CrashMark& mark : held.evidence.marks) {
+  for (const quarantine::CrashObservation& mark : held.evidence.crashes) {
     ends.push_back({{"node", quarantine.NameOf(mark.crash.node)},
                     {"life", mark.crash.life},
                     {"ago", Rounded(now - mark.at)},
-                    {"ran", Rounded(mark.ran)},
-                    {"alone", mark.is_alone}});
+                    {"ran", Rounded(mark.run_time)},
+                    {"alone", mark.is_sole_suspect}});
   }
   return {{"fingerprint", held.evidence.fingerprint.ToString()},
           {"verdict", std::string(ToString(held.verdict.verdict))},
--- a/src/libs/quarantine/crash_ledger.cc
+++ b/src/libs/quarantine/crash_ledger.cc
@@ -4,7 +4,7 @@
 #include <functional>
 #include <utility>
 
-#include "quarantine/surprise.h"
+#include "quarantine/surprisal.h"
 
 namespace chestnutport::quarantine {
 namespace {
@@ -22,7 +22,7 @@
 // other is any, but one.
 template <typename End>
 std::pair<uint64_t, CrashId> RankOf(const End& end) {
-  return {end.order, end.crash};
+  return {end.lamport_time, end.crash};
 }
 
 template <typename End>
@@ -34,7 +34,7 @@
 
 // Another one than that of the mark.
 uint64_t RefutedDigest(RequestFingerprint fingerprint, const CrashId& crash) {
-  return ~MarkDigest(fingerprint, crash);
+  return ~CrashDigest(fingerprint, crash);
 }
 
 }  // namespace
@@ -49,12 +49,13 @@
   std::vector<RequestEvidence> told;
   for (const RunningRequest& request : crash.running) {
     Row& row = RowOf(request.fingerprint);
-    const CrashMark mark{.crash = crash.crash,
-                         .order = latest_order_,
-                         .ran = request.ran,
-                         .other_ends = OtherEnds(row, crash.crash, now),
-                         .is_alone = request.is_suspect && suspects == 1,
-                         .at = now};
+    const CrashObservation mark{
+        .crash = crash.crash,
+        .lamport_time = latest_order_,
+        .run_time = request.run_time,
+        .other_crashes = OtherEnds(row, crash.crash, now),
+        .is_sole_suspect = request.is_suspect && suspects == 1,
+        .at = now};
     if (!AddMark(row, mark))
       continue;
     row.changed_at = now;
@@ -65,25 +66,25 @@
 
 bool CrashLedger::Merge(const RequestEvidence& heard, Instant now) {
   if (heard.fingerprint.value == 0 ||
-      (heard.marks.empty() && heard.refuted.empty())) {
+      (heard.crashes.empty() && heard.refuted.empty())) {
     return false;
   }
   Row& row = RowOf(heard.fingerprint);
   bool is_new = false;
-  for (const RefutedEnd& end : heard.refuted) {
-    latest_order_ = std::max(latest_order_, end.order);
+  for (const RefutedCrash& end : heard.refuted) {
+    latest_order_ = std::max(latest_order_, end.lamport_time);
     is_new |= AddRefuted(row, end);
   }
-  for (const CrashMark& mark : heard.marks) {
-    latest_order_ = std::max(latest_order_, mark.order);
-    const bool is_remembered = mark.at + kMemory > now;
+  for (const CrashObservation& mark : heard.crashes) {
+    latest_order_ = std::max(latest_order_, mark.lamport_time);
+    const bool is_remembered = mark.at + kRetention > now;
     is_new |= is_remembered && AddMark(row, mark);
   }
   if (is_new) {
     row.changed_at = now;
     OnChanged();
   }
-  if (row.marks.empty() && row.refuted.empty())
+  if (row.crashes.empty() && row.refuted.empty())
     rows_.erase(heard.fingerprint);
   return is_new;
 }
@@ -92,13 +93,13 @@
     RequestFingerprint fingerprint,
     Instant now) {
   const auto found = rows_.find(fingerprint);
-  if (found == rows_.end() || found->second.marks.empty())
+  if (found == rows_.end() || found->second.crashes.empty())
     return std::nullopt;
   OnChanged();
   Row& row = found->second;
-  const std::vector<CrashMark> marks = row.marks;
-  for (const CrashMark& mark : marks)
-    AddRefuted(row, {mark.crash, mark.order});
+  const std::vector<CrashObservation> crashes = row.crashes;
+  for (const CrashObservation& mark : crashes)
+    AddRefuted(row, {mark.crash, mark.lamport_time});
   row.changed_at = now;
   return ToEvidence(fingerprint, row);
 }
@@ -107,27 +108,27 @@
   OnChanged();
   absl::erase_if(rows_, [now](auto& item) {
     Row& row = item.second;
-    std::erase_if(row.marks, [now](const CrashMark& mark) {
-      return mark.at + kMemory <= now;
+    std::erase_if(row.crashes, [now](const CrashObservation& mark) {
+      return mark.at + kRetention <= now;
     });
-    if (row.changed_at + kMemory <= now)
+    if (row.changed_at + kRetention <= now)
       row.refuted.clear();
-    return row.marks.empty() && row.refuted.empty();
+    return row.crashes.empty() && row.refuted.empty();
   });
-  while (!ends_.empty() && ends_.front().at + kEndsWindow <= now)
+  while (!ends_.empty() && ends_.front().at + kCrashRateWindow <= now)
     ends_.pop_front();
 }
 
 VerdictUntil CrashLedger::VerdictOf(RequestFingerprint fingerprint,
                                     Instant now) const {
   const auto found = rows_.find(fingerprint);
-  return found == rows_.end() ? VerdictUntil() : Judge(found->second, now);
+  return found == rows_.end() ? VerdictUntil() : Evaluate(found->second, now);
 }
 
 Verdicts CrashLedger::AllVerdicts(Instant now) const {
   Verdicts all;
   for (const auto& [fingerprint, row] : rows_) {
-    const VerdictUntil verdict = Judge(row, now);
+    const VerdictUntil verdict = Evaluate(row, now);
     if (verdict.verdict != Verdict::kFree)
       all.Set(fingerprint, verdict);
   }
@@ -142,16 +143,16 @@
   return ToEvidence(fingerprint, found->second);
 }
 
-std::vector<RequestEvidence> CrashLedger::Telling() const {
+std::vector<RequestEvidence> CrashLedger::SharedEvidence() const {
   std::vector<RequestEvidence> told;
   for (const auto& [fingerprint, row] : rows_) {
     if (IsTold(row))
       told.push_back(ToEvidence(fingerprint, row));
   }
   std::ranges::sort(told, std::greater(), [](const RequestEvidence& evidence) {
-    return std::pair(evidence.marks.size(), evidence.fingerprint);
+    return std::pair(evidence.crashes.size(), evidence.fingerprint);
   });
-  told.resize(std::min(told.size(), kMostTold));
+  told.resize(std::min(told.size(), kMaxSharedRequests));
   return told;
 }
 
@@ -162,9 +163,9 @@
   for (const auto& [fingerprint, row] : rows_) {
     if (!IsTold(row))
       continue;
-    for (const CrashMark& mark : row.marks)
-      digest ^= MarkDigest(fingerprint, mark.crash);
-    for (const RefutedEnd& end : row.refuted)
+    for (const CrashObservation& mark : row.crashes)
+      digest ^= CrashDigest(fingerprint, mark.crash);
+    for (const RefutedCrash& end : row.refuted)
       digest ^= RefutedDigest(fingerprint, end.crash);
   }
   digest_ = digest;
@@ -172,54 +173,58 @@
 }
 
 bool CrashLedger::IsTold(const Row& row) {
-  return row.marks.size() >= kSuspectMarks || !row.refuted.empty();
+  return row.crashes.size() >= kSuspicionThreshold || !row.refuted.empty();
 }
 
-VerdictUntil CrashLedger::Judge(const Row& row, Instant now) {
-  if (row.marks.size() < kSuspectMarks)
+VerdictUntil CrashLedger::Evaluate(const Row& row, Instant now) {
+  if (row.crashes.size() < kSuspicionThreshold)
     return {};
-  const Instant last = std::ranges::max(row.marks, {}, &CrashMark::at).at;
+  const Instant last =
+      std::ranges::max(row.crashes, {}, &CrashObservation::at).at;
   const base::Duration hold = HoldOf(row);
   if (now < last + hold)
     return {Verdict::kQuarantined, last + hold};
-  return {Verdict::kSuspected, last + kMemory};
+  return {Verdict::kSuspected, last + kRetention};
 }
 
 base::Duration CrashLedger::HoldOf(const Row& row) {
   if (!IsProved(row))
     return {};
-  return row.marks.size() == kQuarantineMarks ? kFirstHold : kHold;
+  return row.crashes.size() == kQuarantineThreshold ? kFirstQuarantinePeriod
+                                                    : kQuarantinePeriod;
 }
 
 bool CrashLedger::IsProved(const Row& row) {
-  const bool was_alone = std::ranges::any_of(row.marks, &CrashMark::is_alone);
-  if (row.marks.size() < kQuarantineMarks || !was_alone)
+  const bool was_alone =
+      std::ranges::any_of(row.crashes, &CrashObservation::is_sole_suspect);
+  if (row.crashes.size() < kQuarantineThreshold || !was_alone)
     return false;
   const base::Duration runs =
-      std::ranges::max(row.marks, {}, &CrashMark::ran).ran;
+      std::ranges::max(row.crashes, {}, &CrashObservation::run_time).run_time;
   int surprise = 0;
-  for (const CrashMark& mark : row.marks)
-    surprise += Surprise(runs, mark.other_ends);
-  const auto further = static_cast<int>(row.marks.size() - kQuarantineMarks);
-  return surprise >= kQuarantineSurprise + kSurpriseOfFurther * further;
+  for (const CrashObservation& mark : row.crashes)
+    surprise += Surprisal(runs, mark.other_crashes);
+  const auto further =
+      static_cast<int>(row.crashes.size() - kQuarantineThreshold);
+  return surprise >= kQuarantineSurprisal + kSurprisalPerExtraCrash * further;
 }
 
 RequestEvidence CrashLedger::ToEvidence(RequestFingerprint fingerprint,
                                         const Row& row) {
-  return {fingerprint, row.marks, row.refuted};
+  return {fingerprint, row.crashes, row.refuted};
 }
 
-bool CrashLedger::AddMark(Row& row, const CrashMark& mark) {
-  if (Holds(row.refuted, mark.crash) || Holds(row.marks, mark.crash))
+bool CrashLedger::AddMark(Row& row, const CrashObservation& mark) {
+  if (Holds(row.refuted, mark.crash) || Holds(row.crashes, mark.crash))
     return false;
-  InsertByRank(row.marks, mark);
+  InsertByRank(row.crashes, mark);
   return KeepLatest(row, mark.crash);
 }
 
-bool CrashLedger::AddRefuted(Row& row, const RefutedEnd& end) {
+bool CrashLedger::AddRefuted(Row& row, const RefutedCrash& end) {
   if (Holds(row.refuted, end.crash))
     return false;
-  std::erase_if(row.marks, [&end](const CrashMark& mark) {
+  std::erase_if(row.crashes, [&end](const CrashObservation& mark) {
     return mark.crash == end.crash;
   });
   InsertByRank(row.refuted, end);
@@ -227,15 +232,15 @@
 }
 
 bool CrashLedger::KeepLatest(Row& row, const CrashId& added) {
-  if (row.marks.size() + row.refuted.size() <= kMostMarks)
+  if (row.crashes.size() + row.refuted.size() <= kMaxCrashesPerRequest)
     return true;
-  const bool is_mark = row.refuted.empty() ||
-                       (!row.marks.empty() && RankOf(row.marks.front()) <
-                                                  RankOf(row.refuted.front()));
+  const bool is_mark = row.refuted.empty() || (!row.crashes.empty() &&
+                                               RankOf(row.crashes.front()) <
+                                                   RankOf(row.refuted.front()));
   const CrashId dropped =
-      is_mark ? row.marks.front().crash : row.refuted.front().crash;
+      is_mark ? row.crashes.front().crash : row.refuted.front().crash;
   if (is_mark)
-    row.marks.erase(row.marks.begin());
+    row.crashes.erase(row.crashes.begin());
   else
     row.refuted.erase(row.refuted.begin());
   return dropped != added;
@@ -245,7 +250,7 @@
   const auto found = rows_.find(fingerprint);
   if (found != rows_.end())
     return found->second;
-  if (rows_.size() >= kMostRequests)
+  if (rows_.size() >= kMaxRequests)
     MakeRoom();
   return rows_[fingerprint];
 }
@@ -253,14 +258,14 @@
 void CrashLedger::MakeRoom() {
   OnChanged();
   const auto least = std::ranges::min_element(rows_, {}, [](const auto& item) {
-    return std::pair(item.second.marks.size(), item.second.changed_at);
+    return std::pair(item.second.crashes.size(), item.second.changed_at);
   });
   rows_.erase(least);
 }
 
 void CrashLedger::NoteEnd(const CrashId& crash, Instant at) {
   ends_.push_back({crash, at});
-  if (ends_.size() > kMostEnds)
+  if (ends_.size() > kMaxRecentCrashes)
     ends_.pop_front();
 }
 
@@ -269,7 +274,7 @@
                            Instant now) const {
   return static_cast<int>(std::ranges::count_if(ends_, [&](const End& end) {
     return end.crash.node == latest.node && end.crash != latest &&
-           end.at + kEndsWindow > now && !Holds(row.marks, end.crash);
+           end.at + kCrashRateWindow > now && !Holds(row.crashes, end.crash);
   }));
 }
 
--- a/src/libs/quarantine/crash_ledger.h
+++ b/src/libs/quarantine/crash_ledger.h
@@ -28,36 +28,36 @@
   // quarantined. At one end all that ran are alike; those that ran at two are
   // the guilty one and what was retried beside it. So one of the ends for a
   // quarantine has to be of a server that ran no other suspect.
-  static constexpr size_t kSuspectMarks = 2;
-  static constexpr size_t kQuarantineMarks = 3;
+  static constexpr size_t kSuspicionThreshold = 2;
+  static constexpr size_t kQuarantineThreshold = 3;
   // The sum of the marks' surprise that a verdict takes besides: the chance
   // that servers ended three times in such a time for other reasons is one in
   // 250,000. For each further mark it takes more, as what runs for long gets
   // some from each of many ends by chance.
-  static constexpr int kQuarantineSurprise = 54;
-  static constexpr int kSurpriseOfFurther = 6;
+  static constexpr int kQuarantineSurprisal = 54;
+  static constexpr int kSurprisalPerExtraCrash = 6;
   // How long a quarantine holds after the last end; then the request is tried
   // again, as a suspect. Three ends may come within a third of a second, with
   // two guilty requests at once: an innocent one that was beside them is
   // answered when it is tried. A server that ended is back by then, and most
   // are warm.
-  static constexpr std::chrono::seconds kFirstHold{5};
+  static constexpr std::chrono::seconds kFirstQuarantinePeriod{5};
   // The same with one end more. A server that was mended serves the request by
   // then; one that was not ends once in this time.
-  static constexpr std::chrono::minutes kHold{10};
+  static constexpr std::chrono::minutes kQuarantinePeriod{10};
   // For how long ends are remembered, and what was refuted.
-  static constexpr std::chrono::minutes kMemory{20};
+  static constexpr std::chrono::minutes kRetention{20};
 
   // Bounds of memory: about 1 MB. What has fewest marks, and is oldest, goes
   // first.
-  static constexpr size_t kMostRequests = 4096;
+  static constexpr size_t kMaxRequests = 4096;
   // Ends of a request, refuted or not: the latest by their order, which is the
   // same on all nodes, so that these hold the same ones. By the times at which
   // nodes heard of them they would tell each other of ever different ones.
-  static constexpr size_t kMostMarks = 8;
-  static constexpr size_t kMostEnds = 1024;
+  static constexpr size_t kMaxCrashesPerRequest = 8;
+  static constexpr size_t kMaxRecentCrashes = 1024;
   // Requests in one answer to a node that asks: about 40 kB.
-  static constexpr size_t kMostTold = 512;
+  static constexpr size_t kMaxSharedRequests = 512;
 
   // This node's server ended. Returns what is known now of each request that it
   // ran.
@@ -82,18 +82,18 @@
   std::optional<RequestEvidence> Find(
       base::RequestFingerprint fingerprint) const;
   // What a node that knows nothing has to be told: all that two ends or more
-  // speak against, and all that was refuted. Of more than kMostTold those with
-  // the most marks.
-  std::vector<RequestEvidence> Telling() const;
-  // Equal in ledgers of which `Telling` is the same but for times.
+  // speak against, and all that was refuted. Of more than kMaxSharedRequests
+  // those with the most marks.
+  std::vector<RequestEvidence> SharedEvidence() const;
+  // Equal in ledgers of which `SharedEvidence` is the same but for times.
   uint64_t digest() const;
   size_t size() const { return rows_.size(); }
 
  private:
   struct Row {
     // Both by their order, the latest last.
-    std::vector<CrashMark> marks;
-    std::vector<RefutedEnd> refuted;
+    std::vector<CrashObservation> crashes;
+    std::vector<RefutedCrash> refuted;
     base::Instant changed_at;
   };
   struct End {
@@ -105,11 +105,11 @@
   static bool IsProved(const Row& row);
   // Zero: it is not held.
   static base::Duration HoldOf(const Row& row);
-  static VerdictUntil Judge(const Row& row, base::Instant now);
+  static VerdictUntil Evaluate(const Row& row, base::Instant now);
   static RequestEvidence ToEvidence(base::RequestFingerprint fingerprint,
                                     const Row& row);
-  static bool AddMark(Row& row, const CrashMark& mark);
-  static bool AddRefuted(Row& row, const RefutedEnd& end);
+  static bool AddMark(Row& row, const CrashObservation& mark);
+  static bool AddRefuted(Row& row, const RefutedCrash& end);
   // Drops the earliest end if there are too many; whether `added` stays.
   static bool KeepLatest(Row& row, const CrashId& added);
   Row& RowOf(base::RequestFingerprint fingerprint);
--- a/src/libs/quarantine/evidence_codec.cc
+++ b/src/libs/quarantine/evidence_codec.cc
@@ -21,7 +21,7 @@
 // Of a message from another node: more marks than any node sends, and times far
 // from overflow.
 constexpr uint32_t kMostRead = 64;
-constexpr size_t kMostRequests = 1024;
+constexpr size_t kMaxRequests = 1024;
 constexpr size_t kDepth = 8;
 constexpr milliseconds kLongest = std::chrono::hours(24);
 constexpr int kMostOtherEnds = 1000;
@@ -30,7 +30,8 @@
 constexpr size_t kHead = 1 + 9 + 3 + 3;
 constexpr size_t kMark = 1 + 9 + 5 + 9 + 5 + 3 + 1 + 5;
 constexpr size_t kRefuted = 1 + 9 + 5 + 9;
-static_assert(kHead + CrashLedger::kMostMarks * kMark <= kLargestEncoded);
+static_assert(kHead + CrashLedger::kMaxCrashesPerRequest * kMark <=
+              kMaxEncodedSize);
 
 void PackCrash(Packer& packer, const CrashId& crash) {
   packer.pack(crash.node.value);
@@ -42,27 +43,27 @@
   return std::max<int64_t>(whole.count(), 0);
 }
 
-void PackMark(Packer& packer, const CrashMark& mark, Instant now) {
+void PackMark(Packer& packer, const CrashObservation& mark, Instant now) {
   packer.pack_array(kMarkFields);
   PackCrash(packer, mark.crash);
-  packer.pack(mark.order);
-  packer.pack(InMilliseconds(mark.ran));
-  packer.pack(mark.other_ends);
-  packer.pack(mark.is_alone);
+  packer.pack(mark.lamport_time);
+  packer.pack(InMilliseconds(mark.run_time));
+  packer.pack(mark.other_crashes);
+  packer.pack(mark.is_sole_suspect);
   packer.pack(InMilliseconds(now - mark.at));
 }
 
 void Pack(Packer& packer, const RequestEvidence& evidence, Instant now) {
   packer.pack_array(kFields);
   packer.pack(evidence.fingerprint.value);
-  packer.pack_array(static_cast<uint32_t>(evidence.marks.size()));
-  for (const CrashMark& mark : evidence.marks)
+  packer.pack_array(static_cast<uint32_t>(evidence.crashes.size()));
+  for (const CrashObservation& mark : evidence.crashes)
     PackMark(packer, mark, now);
   packer.pack_array(static_cast<uint32_t>(evidence.refuted.size()));
-  for (const RefutedEnd& end : evidence.refuted) {
+  for (const RefutedCrash& end : evidence.refuted) {
     packer.pack_array(kRefutedFields);
     PackCrash(packer, end.crash);
-    packer.pack(end.order);
+    packer.pack(end.lamport_time);
   }
 }
 
@@ -86,19 +87,19 @@
       std::clamp<int64_t>(object.as<int64_t>(), 0, kLongest.count()));
 }
 
-CrashMark ReadMark(const msgpack::object& object, Instant now) {
+CrashObservation ReadMark(const msgpack::object& object, Instant now) {
   const auto fields = ReadArray(object, kMarkFields, kMostRead);
   return {.crash = ReadCrash(fields),
-          .order = fields[2].as<uint64_t>(),
-          .ran = ReadMilliseconds(fields[3]),
-          .other_ends = std::clamp(fields[4].as<int>(), 0, kMostOtherEnds),
-          .is_alone = fields[5].as<bool>(),
+          .lamport_time = fields[2].as<uint64_t>(),
+          .run_time = ReadMilliseconds(fields[3]),
+          .other_crashes = std::clamp(fields[4].as<int>(), 0, kMostOtherEnds),
+          .is_sole_suspect = fields[5].as<bool>(),
           .at = now - ReadMilliseconds(fields[6])};
 }
 
-RefutedEnd ReadRefuted(const msgpack::object& object) {
+RefutedCrash ReadRefuted(const msgpack::object& object) {
   const auto fields = ReadArray(object, kRefutedFields, kMostRead);
-  return {.crash = ReadCrash(fields), .order = fields[2].as<uint64_t>()};
+  return {.crash = ReadCrash(fields), .lamport_time = fields[2].as<uint64_t>()};
 }
 
 RequestEvidence Read(const msgpack::object& object, Instant now) {
@@ -106,7 +107,7 @@
   RequestEvidence evidence;
   evidence.fingerprint.value = fields[0].as<uint64_t>();
   for (const msgpack::object& mark : ReadArray(fields[1], 0, kMostRead))
-    evidence.marks.push_back(ReadMark(mark, now));
+    evidence.crashes.push_back(ReadMark(mark, now));
   for (const msgpack::object& end : ReadArray(fields[2], 0, kMostRead))
     evidence.refuted.push_back(ReadRefuted(end));
   return evidence;
@@ -115,7 +116,7 @@
 }  // namespace
 
 size_t EncodedSize(const RequestEvidence& evidence) {
-  return kHead + kMark * evidence.marks.size() +
+  return kHead + kMark * evidence.crashes.size() +
          kRefuted * evidence.refuted.size();
 }
 
@@ -139,9 +140,9 @@
   try {
     const auto handle = msgpack::unpack(
         bytes.data(), bytes.size(), nullptr, nullptr,
-        msgpack::unpack_limit(kMostRequests, 0, 0, 0, 0, kDepth));
+        msgpack::unpack_limit(kMaxRequests, 0, 0, 0, 0, kDepth));
     for (const msgpack::object& object :
-         ReadArray(handle.get(), 0, kMostRequests)) {
+         ReadArray(handle.get(), 0, kMaxRequests)) {
       all.push_back(Read(object, now));
     }
   } catch (const std::exception&) {
--- a/src/libs/quarantine/evidence_codec.h
+++ b/src/libs/quarantine/evidence_codec.h
@@ -15,7 +15,7 @@
 namespace chestnutport::quarantine {
 
 // The bytes of what a ledger keeps of one request, at most.
-inline constexpr size_t kLargestEncoded = 320;
+inline constexpr size_t kMaxEncodedSize = 320;
 
 // The bytes that `evidence` adds to a message, at most.
 size_t EncodedSize(const RequestEvidence& evidence);
--- a/src/libs/quarantine/gate_guard.cc
+++ b/src/libs/quarantine/quarantine_filter.cc
@@ -1,4 +1,4 @@
-#include "quarantine/gate_guard.h"
+#include "quarantine/quarantine_filter.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,7 +13,8 @@
 
 // Suspects before others, and the youngest of both first.
 bool IsBefore(const RunningRequest& a, const RunningRequest& b) {
-  return std::pair(!a.is_suspect, a.ran) < std::pair(!b.is_suspect, b.ran);
+  return std::pair(!a.is_suspect, a.run_time) <
+         std::pair(!b.is_suspect, b.run_time);
 }
 
 bool Holds(const std::vector<RunningRequest>& running,
@@ -24,61 +25,65 @@
 
 }  // namespace
 
-std::vector<RequestFingerprint> GateGuard::SetVerdicts(SharedVerdicts verdicts,
-                                                       uint64_t life,
-                                                       Instant now) {
+std::vector<RequestFingerprint> QuarantineFilter::SetVerdicts(
+    SharedVerdicts verdicts,
+    uint64_t life,
+    Instant now) {
   verdicts_ = std::move(verdicts);
   std::vector<RequestFingerprint> answered;
   for (const auto& [fingerprint, verdict] : verdicts_->all()) {
-    if (answered_.Has(fingerprint, life, now))
+    if (answered_.Contains(fingerprint, life, now))
       answered.push_back(fingerprint);
   }
   return answered;
 }
 
-std::optional<GuardRefusal> GateGuard::Judge(const GuardedRequest& request,
-                                             Instant now) const {
+std::optional<QuarantineRejection> QuarantineFilter::Judge(
+    const IncomingRequest& request,
+    Instant now) const {
   const VerdictUntil verdict = verdicts_->Of(request.fingerprint);
   if (verdict.verdict == Verdict::kQuarantined) {
-    return GuardRefusal{ErrorKind::kRequestQuarantined,
-                        std::max<base::Duration>(verdict.until - now, {})};
+    return QuarantineRejection{
+        ErrorKind::kRequestQuarantined,
+        std::max<base::Duration>(verdict.until - now, {})};
   }
   if (IsSuspect(request) && RunsSuspect()) {
-    return GuardRefusal{
+    return QuarantineRejection{
         ErrorKind::kRequestSuspected,
         base::AnswerTo(ErrorKind::kRequestSuspected).retry_after};
   }
   return std::nullopt;
 }
 
-void GateGuard::OnStarted(const base::AttemptId& attempt,
-                          const GuardedRequest& request) {
+void QuarantineFilter::OnStarted(const base::AttemptId& attempt,
+                                 const IncomingRequest& request) {
   running_[attempt] = request;
 }
 
-bool GateGuard::IsSuspect(const GuardedRequest& request) const {
+bool QuarantineFilter::IsSuspect(const IncomingRequest& request) const {
   return request.is_suspect || !verdicts_->IsFree(request.fingerprint);
 }
 
-bool GateGuard::RunsSuspect() const {
+bool QuarantineFilter::RunsSuspect() const {
   return std::ranges::any_of(
       running_, [this](const auto& item) { return IsSuspect(item.second); });
 }
 
-bool GateGuard::OnEnded(const base::AttemptId& attempt,
-                        RequestFingerprint fingerprint,
-                        std::optional<uint64_t> life,
-                        Instant now) {
+bool QuarantineFilter::OnEnded(const base::AttemptId& attempt,
+                               RequestFingerprint fingerprint,
+                               std::optional<uint64_t> life,
+                               Instant now) {
   running_.erase(attempt);
   if (!life || fingerprint.value == 0)
     return false;
-  answered_.Note(fingerprint, *life, now);
+  answered_.Add(fingerprint, *life, now);
   return !verdicts_->IsFree(fingerprint);
 }
 
-ServerCrash GateGuard::Blame(const CrashId& crash,
-                             std::span<const RunningRequest> running,
-                             Instant now) const {
+ServerCrash QuarantineFilter::AttributeCrash(
+    const CrashId& crash,
+    std::span<const RunningRequest> running,
+    Instant now) const {
   std::vector<RunningRequest> sorted(running.begin(), running.end());
   for (RunningRequest& request : sorted)
     request.is_suspect = IsSuspect({request.fingerprint, request.is_suspect});
@@ -87,10 +92,11 @@
   for (const RunningRequest& request : sorted) {
     const bool may_be_guilty =
         request.fingerprint.value != 0 &&
-        !answered_.Has(request.fingerprint, crash.life, now);
+        !answered_.Contains(request.fingerprint, crash.life, now);
     // Two runs of one request are one.
     const bool is_new = !Holds(blamed.running, request.fingerprint);
-    if (may_be_guilty && is_new && blamed.running.size() < kMostBlamed)
+    if (may_be_guilty && is_new &&
+        blamed.running.size() < kMaxAttributedRequests)
       blamed.running.push_back(request);
   }
   return blamed;
--- a/src/libs/quarantine/gate_guard.h
+++ b/src/libs/quarantine/quarantine_filter.h
@@ -1,7 +1,7 @@
 // Decides at a gate, by the verdicts that its node holds, which requests its
 // server may run, and which are to answer for an end of it. Pure.
-#ifndef QUARANTINE_GATE_GUARD_H_
-#define QUARANTINE_GATE_GUARD_H_
+#ifndef QUARANTINE_QUARANTINE_FILTER_H_
+#define QUARANTINE_QUARANTINE_FILTER_H_
 
 #include <cstdint>
 #include <memory>
@@ -14,7 +14,7 @@
 #include "base/error_kind.h"
 #include "base/request_fingerprint.h"
 #include "base/time.h"
-#include "quarantine/answered_requests.h"
+#include "quarantine/recently_answered_requests.h"
 #include "quarantine/server_crash.h"
 #include "quarantine/verdict.h"
 
@@ -23,24 +23,24 @@
 using SharedVerdicts = std::shared_ptr<const Verdicts>;
 
 // Why a request is not run, and when its caller may come back.
-struct GuardRefusal {
+struct QuarantineRejection {
   base::ErrorKind error = base::ErrorKind::kRequestQuarantined;
   base::Duration retry_after{};
 };
 
 // A request as it comes to a gate.
-struct GuardedRequest {
+struct IncomingRequest {
   base::RequestFingerprint fingerprint;
   // Servers ended with it twice, by the word of the node that sent it: that
   // node may know before the verdict has come here.
   bool is_suspect = false;
 };
 
-class GateGuard {
+class QuarantineFilter {
  public:
   // Of the requests that ran at an end, the youngest so many answer for it;
   // with the suspects among them, whatever their age.
-  static constexpr size_t kMostBlamed = 64;
+  static constexpr size_t kMaxAttributedRequests = 64;
 
   // Returns those of them that `life`, the present one of the server, answered
   // lately: that speaks for them.
@@ -49,10 +49,11 @@
                                                     base::Instant now);
 
   // Nothing if the server may run the request now.
-  std::optional<GuardRefusal> Judge(const GuardedRequest& request,
-                                    base::Instant now) const;
+  std::optional<QuarantineRejection> Judge(const IncomingRequest& request,
+                                           base::Instant now) const;
   // The server got the request.
-  void OnStarted(const base::AttemptId& attempt, const GuardedRequest& request);
+  void OnStarted(const base::AttemptId& attempt,
+                 const IncomingRequest& request);
   // It runs there no more. `life` of the server answered it; nothing: it was
   // not answered. Returns whether the answer speaks for a request that is not
   // free.
@@ -63,20 +64,20 @@
 
   // Who is to answer for the end of a server: all that this life of it did not
   // answer before.
-  ServerCrash Blame(const CrashId& crash,
-                    std::span<const RunningRequest> running,
-                    base::Instant now) const;
+  ServerCrash AttributeCrash(const CrashId& crash,
+                             std::span<const RunningRequest> running,
+                             base::Instant now) const;
 
  private:
-  bool IsSuspect(const GuardedRequest& request) const;
+  bool IsSuspect(const IncomingRequest& request) const;
   bool RunsSuspect() const;
 
   SharedVerdicts verdicts_ = std::make_shared<const Verdicts>();
-  AnsweredRequests answered_;
+  RecentlyAnsweredRequests answered_;
   // What the server runs; some may have become suspects since they started.
-  absl::flat_hash_map<base::AttemptId, GuardedRequest> running_;
+  absl::flat_hash_map<base::AttemptId, IncomingRequest> running_;
 };
 
 }  // namespace chestnutport::quarantine
 
-#endif  // QUARANTINE_GATE_GUARD_H_
+#endif  // QUARANTINE_QUARANTINE_FILTER_H_
--- a/src/libs/quarantine/answered_requests.cc
+++ b/src/libs/quarantine/recently_answered_requests.cc
@@ -1,4 +1,4 @@
-#include "quarantine/answered_requests.h"
+#include "quarantine/recently_answered_requests.h"
 
 #include <utility>
 
@@ -7,17 +7,17 @@
 using base::Instant;
 using base::RequestFingerprint;
 
-void AnsweredRequests::Note(RequestFingerprint fingerprint,
-                            uint64_t life,
-                            Instant now) {
-  if (now >= window_start_ + kWindow || present_.size() >= kMost)
-    Turn(now);
+void RecentlyAnsweredRequests::Add(RequestFingerprint fingerprint,
+                                   uint64_t life,
+                                   Instant now) {
+  if (now >= window_start_ + kWindow || present_.size() >= kMaxPerWindow)
+    Rotate(now);
   present_[fingerprint] = life;
 }
 
-bool AnsweredRequests::Has(RequestFingerprint fingerprint,
-                           uint64_t life,
-                           Instant now) const {
+bool RecentlyAnsweredRequests::Contains(RequestFingerprint fingerprint,
+                                        uint64_t life,
+                                        Instant now) const {
   if (now >= window_start_ + 2 * kWindow)
     return false;
   const auto answered = [&](const Lives& lives) {
@@ -27,7 +27,7 @@
   return answered(present_) || answered(previous_);
 }
 
-void AnsweredRequests::Turn(Instant now) {
+void RecentlyAnsweredRequests::Rotate(Instant now) {
   const bool is_old = now >= window_start_ + 2 * kWindow;
   previous_ = is_old ? Lives() : std::move(present_);
   present_.clear();
--- a/src/libs/quarantine/answered_requests.h
+++ b/src/libs/quarantine/recently_answered_requests.h
@@ -1,6 +1,6 @@
 // Which requests a server answered lately: those do not end it.
-#ifndef QUARANTINE_ANSWERED_REQUESTS_H_
-#define QUARANTINE_ANSWERED_REQUESTS_H_
+#ifndef QUARANTINE_RECENTLY_ANSWERED_REQUESTS_H_
+#define QUARANTINE_RECENTLY_ANSWERED_REQUESTS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -12,27 +12,27 @@
 namespace chestnutport::quarantine {
 
 // Guards what many callers ask for all the time: it runs at every end.
-class AnsweredRequests {
+class RecentlyAnsweredRequests {
  public:
   // An answer counts for this time to twice as long.
   static constexpr std::chrono::seconds kWindow{10};
   // Kept of each window; about 100 kB in all.
-  static constexpr size_t kMost = 2048;
+  static constexpr size_t kMaxPerWindow = 2048;
 
   // `life`: of the server that answered.
-  void Note(base::RequestFingerprint fingerprint,
-            uint64_t life,
-            base::Instant now);
+  void Add(base::RequestFingerprint fingerprint,
+           uint64_t life,
+           base::Instant now);
   // Whether this life of the server answered it. Another life may be another
   // version of the server, which the request ends.
-  bool Has(base::RequestFingerprint fingerprint,
-           uint64_t life,
-           base::Instant now) const;
+  bool Contains(base::RequestFingerprint fingerprint,
+                uint64_t life,
+                base::Instant now) const;
 
  private:
   using Lives = absl::flat_hash_map<base::RequestFingerprint, uint64_t>;
 
-  void Turn(base::Instant now);
+  void Rotate(base::Instant now);
 
   Lives present_;
   Lives previous_;
@@ -41,4 +41,4 @@
 
 }  // namespace chestnutport::quarantine
 
-#endif  // QUARANTINE_ANSWERED_REQUESTS_H_
+#endif  // QUARANTINE_RECENTLY_ANSWERED_REQUESTS_H_
--- /dev/null
+++ b/src/libs/quarantine/refuted_crash.h
@@ -0,0 +1,20 @@
+// The end of a server that does not count against a request any more.
+#ifndef QUARANTINE_REFUTED_CRASH_H_
+#define QUARANTINE_REFUTED_CRASH_H_
+
+#include <cstdint>
+
+#include "quarantine/crash_id.h"
+
+namespace chestnutport::quarantine {
+
+struct RefutedCrash {
+  CrashId crash;
+  uint64_t lamport_time = 0;  // As its mark had it.
+
+  bool operator==(const RefutedCrash&) const = default;
+};
+
+}  // namespace chestnutport::quarantine
+
+#endif  // QUARANTINE_REFUTED_CRASH_H_
--- a/src/libs/quarantine/request_evidence.cc
+++ b/src/libs/quarantine/request_evidence.cc
@@ -6,17 +6,17 @@
 
 namespace chestnutport::quarantine {
 
-uint64_t MarksDigest(std::span<const RequestEvidence> all) {
+uint64_t EvidenceDigest(std::span<const RequestEvidence> all) {
   uint64_t digest = 0;
   for (const RequestEvidence& evidence : all) {
-    for (const CrashMark& mark : evidence.marks)
-      digest ^= MarkDigest(evidence.fingerprint, mark.crash);
+    for (const CrashObservation& mark : evidence.crashes)
+      digest ^= CrashDigest(evidence.fingerprint, mark.crash);
   }
   return digest;
 }
 
-uint64_t MarkDigest(base::RequestFingerprint fingerprint,
-                    const CrashId& crash) {
+uint64_t CrashDigest(base::RequestFingerprint fingerprint,
+                     const CrashId& crash) {
   const uint64_t parts[] = {fingerprint.value, crash.node.value, crash.life};
   return base::HashParts(
       {std::string_view(reinterpret_cast<const char*>(parts), sizeof(parts))});
--- a/src/libs/quarantine/server_crash.h
+++ b/src/libs/quarantine/server_crash.h
@@ -12,7 +12,7 @@
 
 struct RunningRequest {
   base::RequestFingerprint fingerprint;
-  base::Duration ran{};  // Until the server ended.
+  base::Duration run_time{};  // Until the server ended.
   // Servers ended with it twice before.
   bool is_suspect = false;
 };
--- a/src/libs/quarantine/surprise.cc
+++ b/src/libs/quarantine/surprisal.cc
@@ -1,4 +1,4 @@
-#include "quarantine/surprise.h"
+#include "quarantine/surprisal.h"
 
 #include <algorithm>
 #include <cmath>
@@ -15,15 +15,15 @@
 
 }  // namespace
 
-int Surprise(base::Duration runs, int other_ends) {
+int Surprisal(base::Duration runs, int other_crashes) {
   using Seconds = std::chrono::duration<double>;
   const double rate =
-      (other_ends + kAssumedEnds) / Seconds(kEndsWindow).count();
+      (other_crashes + kAssumedEnds) / Seconds(kCrashRateWindow).count();
   const double expected =
       rate * Seconds(std::max<base::Duration>(runs, kShortestRun)).count();
   const double chance = 1 - std::exp(-expected);
   const double surprise = -kPerDecade * std::log10(chance);
-  return std::clamp(static_cast<int>(surprise), 0, kMostSurprise);
+  return std::clamp(static_cast<int>(surprise), 0, kMaxSurprisal);
 }
 
 }  // namespace chestnutport::quarantine
--- a/tests/auto/evacuation/evacuated_fleet_test.cc
+++ b/tests/auto/evacuation/evacuated_fleet_test.cc
@@ -47,11 +47,11 @@
     const auto is_cut = [](size_t from, size_t to) {
       return (from == 1) != (to == 1);
     };
-    fleet.Cut(is_cut);
+    fleet.Partition(is_cut);
     fleet.ReadEvacuations(0, kEnded);
     fleet.RunFor(seconds(3));
     CHECK(fleet.gossip(1).evacuations() == kOne);
-    fleet.Cut(nullptr);
+    fleet.Partition(nullptr);
     CHECK(fleet.RunUntil([&] { return AllHold(fleet, kEnded); },
                          kInTouchAgain + kAim));
   }
--- a/tests/auto/failures/request_ends_servers_test.cc
+++ b/tests/auto/failures/request_ends_servers_test.cc
@@ -160,7 +160,7 @@
         platform_.EntryOf("/quarantine"), base::Clock::now());
     if (!stored || stored->empty())
       return 0;
-    return static_cast<int>(stored->front().marks.size());
+    return static_cast<int>(stored->front().crashes.size());
   }
 
   // The caller sends the request once more, through the next node; servers that
--- a/tests/auto/membership/evidence_spread_test.cc
+++ b/tests/auto/membership/evidence_spread_test.cc
@@ -38,7 +38,7 @@
 // The servers beside `slots` end with the request alone, 100 ms apart.
 void EndWithIt(test::GossipFleet& fleet, std::vector<size_t> slots) {
   for (const size_t slot : slots) {
-    fleet.EndServer(slot, 1, {{kGuilty, kRun, true}});
+    fleet.CrashServer(slot, 1, {{kGuilty, kRun, true}});
     fleet.RunFor(milliseconds(100));
   }
 }
@@ -67,7 +67,7 @@
   EndWithIt(fleet, {1, members / 2});
   const test::GossipTraffic before = fleet.traffic();
   const base::Instant third = fleet.now();
-  fleet.EndServer(members - 1, 1, {{kGuilty, kRun, true}});
+  fleet.CrashServer(members - 1, 1, {{kGuilty, kRun, true}});
   CHECK(fleet.RunUntil([&] { return AllHold(fleet); }, kTimeToHear));
   INFO(members << " nodes: known at all after "
                << MillisecondsSince(fleet, third) << " ms");
@@ -97,8 +97,8 @@
     std::vector<quarantine::RunningRequest> running;
     for (int request = 0; request < 12; ++request)
       running.push_back({{++other}, kRun});
-    fleet.EndServer(static_cast<size_t>(i) * 37 % kMembers,
-                    static_cast<uint32_t>(10 + i), running);
+    fleet.CrashServer(static_cast<size_t>(i) * 37 % kMembers,
+                      static_cast<uint32_t>(10 + i), running);
     fleet.RunFor(milliseconds(100));
   };
   for (int i = 0; i < kEnds; ++i)
@@ -116,8 +116,7 @@
   }
   SECTION("and of memory") {
     for (size_t slot = 0; slot < kMembers; ++slot) {
-      CHECK(fleet.ledger(slot).size() <=
-            quarantine::CrashLedger::kMostRequests);
+      CHECK(fleet.ledger(slot).size() <= quarantine::CrashLedger::kMaxRequests);
     }
   }
 }
@@ -127,7 +126,7 @@
   test::GossipFleet fleet({.members = members, .seed = 17});
   fleet.RunFor(seconds(1));
   for (const size_t slot : {size_t{1}, members / 2, members - 1}) {
-    fleet.EndServer(slot, 1, {{kGuilty, kRun, true}});
+    fleet.CrashServer(slot, 1, {{kGuilty, kRun, true}});
     fleet.RunFor(milliseconds(30));
     fleet.Kill(slot);
     fleet.RunFor(milliseconds(100));
@@ -152,7 +151,7 @@
     if (is_frozen)
       fleet.Freeze(kAbsent);
     else
-      fleet.Cut([](size_t from, size_t to) {
+      fleet.Partition([](size_t from, size_t to) {
         return (from == kAbsent) != (to == kAbsent);
       });
     fleet.RunFor(seconds(2));
@@ -162,16 +161,17 @@
     if (is_frozen)
       fleet.Resume(kAbsent);
     else
-      fleet.Cut(nullptr);
+      fleet.Partition(nullptr);
     CHECK(fleet.RunUntil([&] { return AllHold(fleet); }, seconds(8)));
   }
   SECTION("each side of a cut tells the other what it saw") {
-    fleet.Cut([](size_t from, size_t to) { return (from < 15) != (to < 15); });
+    fleet.Partition(
+        [](size_t from, size_t to) { return (from < 15) != (to < 15); });
     EndWithIt(fleet, {1, 16, 29, 20, 18});
     fleet.RunFor(seconds(10));
     CHECK(VerdictAt(fleet, 0) == Verdict::kFree);
     CHECK(VerdictAt(fleet, 20) == Verdict::kQuarantined);
-    fleet.Cut(nullptr);
+    fleet.Partition(nullptr);
     CHECK(fleet.RunUntil([&] { return AllHold(fleet); }, seconds(20)));
   }
 }
@@ -210,7 +210,7 @@
   };
   const auto end_all = [&] {
     for (size_t slot = 0; slot < kMembers; ++slot) {
-      fleet.EndServer(slot, 1, {{kGuilty, kRun, true}});
+      fleet.CrashServer(slot, 1, {{kGuilty, kRun, true}});
       fleet.RunFor(milliseconds(1));
     }
   };
@@ -236,7 +236,7 @@
     }
   }
   SECTION("it is answered on both sides of a cut, after ends there") {
-    fleet.Cut([](size_t from, size_t to) {
+    fleet.Partition([](size_t from, size_t to) {
       return (from < kMembers / 2) != (to < kMembers / 2);
     });
     for (uint32_t life = 1; life <= 6; ++life) {
@@ -246,7 +246,7 @@
       fleet.Refute(240, kGuilty);
       fleet.RunFor(seconds(1));
     }
-    fleet.Cut(nullptr);
+    fleet.Partition(nullptr);
     fleet.RunFor(seconds(40));
     CHECK(all_alike());
     CHECK(VerdictAt(fleet, 0) == Verdict::kFree);
--- a/tests/auto/membership/gossip_fleet_test.cc
+++ b/tests/auto/membership/gossip_fleet_test.cc
@@ -41,7 +41,7 @@
   GossipFleet fleet({.members = 100, .seed = GENERATE(1, 2, 3)});
   fleet.RunFor(seconds(5));
   REQUIRE(fleet.HasConverged());
-  REQUIRE(fleet.false_alarms().suspected == 0);
+  REQUIRE(fleet.false_positives().suspected == 0);
   Watch watch{fleet.member(7).id};
   fleet.set_on_change([&](size_t observer, const MemberChange& change) {
     watch.On(fleet, observer, change);
@@ -54,7 +54,7 @@
     CHECK(watch.told.size() == 99);
     CHECK(watch.last - start <= seconds(3));
     CHECK(fleet.HasConverged());
-    CHECK(fleet.false_alarms().gone == 0);
+    CHECK(fleet.false_positives().gone == 0);
   }
 
   SECTION("a member that drains is known to drain everywhere within 1 s") {
@@ -75,7 +75,7 @@
       "a node that starts where one left is found, though it knows nobody") {
     fleet.Leave(7);
     fleet.RunFor(milliseconds(500));
-    fleet.StartAlone(7);
+    fleet.StartWithoutSeed(7);
     fleet.RunFor(seconds(3));
     CHECK(fleet.gossip(7).Members().size() == 100);
     CHECK(fleet.HasConverged());
@@ -84,7 +84,7 @@
   SECTION("so is one that starts where one died") {
     fleet.Kill(7);
     fleet.RunFor(seconds(12));
-    fleet.StartAlone(7);
+    fleet.StartWithoutSeed(7);
     fleet.RunFor(seconds(3));
     CHECK(fleet.gossip(7).Members().size() == 100);
   }
@@ -122,15 +122,15 @@
   }
 
   SECTION("regions that are cut for three minutes find each other") {
-    fleet.Cut([&](size_t a, size_t b) {
+    fleet.Partition([&](size_t a, size_t b) {
       return (fleet.RegionOf(a) < 2) != (fleet.RegionOf(b) < 2);
     });
     fleet.RunFor(minutes(3));
     CHECK_FALSE(fleet.HasConverged());
-    fleet.Cut(nullptr);
-    fleet.false_alarms() = {};
+    fleet.Partition(nullptr);
+    fleet.false_positives() = {};
     CHECK(fleet.RunUntil([&] { return fleet.HasConverged(); }, seconds(60)));
-    CHECK(fleet.false_alarms().gone == 0);
+    CHECK(fleet.false_positives().gone == 0);
   }
 }
 
@@ -141,7 +141,7 @@
                      .duplication = 0.05,
                      .jitter = milliseconds(50)});
   fleet.RunFor(minutes(2));
-  CHECK(fleet.false_alarms().gone == 0);
+  CHECK(fleet.false_positives().gone == 0);
   fleet.Kill(11);
   fleet.Drain(12);
   fleet.RunFor(seconds(20));
@@ -153,7 +153,7 @@
   const auto bytes_per_node = [](size_t members) {
     GossipFleet fleet({.members = members});
     fleet.RunFor(seconds(10));
-    CHECK(fleet.false_alarms().suspected == 0);
+    CHECK(fleet.false_positives().suspected == 0);
     const GossipTraffic& traffic = fleet.traffic();
     return static_cast<double>(traffic.datagram_bytes + traffic.pull_bytes) /
            static_cast<double>(members) / 10;
--- a/tests/auto/membership/gossip_input_test.cc
+++ b/tests/auto/membership/gossip_input_test.cc
@@ -8,22 +8,22 @@
 namespace chestnutport::test {
 namespace {
 
-using membership::DatagramSeal;
+using membership::DatagramAuthenticator;
 using membership::GossipMessage;
 using membership::MemberRecord;
 using membership::MemberState;
+using membership::MemberUpdate;
 using membership::MessageType;
-using membership::NewsItem;
 
 constexpr char kKey[] = "0123456789abcdef";
 
 GossipMessage Slander(GossipFleet& fleet) {
-  return {.type = MessageType::kNews,
+  return {.type = MessageType::kUpdate,
           .sender = fleet.member(1).id,
           .incarnation = 1,
           .hash = fleet.gossip(1).table().Find(fleet.member(1).id)->hash,
           .revision = 9,
-          .news = {{fleet.member(2).id, 1, MemberState::kLeft, 0, ""}}};
+          .updates = {{fleet.member(2).id, 1, MemberState::kLeft, 0, ""}}};
 }
 
 TEST_CASE("a datagram is believed by its tag") {
@@ -34,15 +34,16 @@
   };
 
   SECTION("one of this fleet is heard") {
-    fleet.Inject(0, DatagramSeal("fleet", kKey, "").Seal(message));
+    fleet.Inject(0, DatagramAuthenticator("fleet", kKey, "").Sign(message));
     fleet.RunFor(base::Duration(1));
     CHECK(state_at_0() == MemberState::kLeft);
   }
   SECTION("one of another fleet, another key, or none, changes nothing") {
     const uint64_t digest = fleet.gossip(0).table().digest();
-    fleet.Inject(0, DatagramSeal("other", kKey, "").Seal(message));
-    fleet.Inject(0,
-                 DatagramSeal("fleet", "fedcba9876543210", "").Seal(message));
+    fleet.Inject(0, DatagramAuthenticator("other", kKey, "").Sign(message));
+    fleet.Inject(
+        0,
+        DatagramAuthenticator("fleet", "fedcba9876543210", "").Sign(message));
     fleet.Inject(0, message);
     fleet.Inject(0, "");
     fleet.RunFor(base::Duration(1));
@@ -53,14 +54,16 @@
     GossipMessage damaged = Slander(fleet);
     damaged.evidence_digest = 1;
     damaged.evidence = "\xc1";
-    fleet.Inject(0, DatagramSeal("fleet", kKey, "").Seal(damaged.Encode()));
+    fleet.Inject(
+        0, DatagramAuthenticator("fleet", kKey, "").Sign(damaged.Encode()));
     fleet.RunFor(base::Duration(1));
     CHECK(state_at_0() == MemberState::kLeft);
     CHECK(fleet.gossip(0).counters().malformed == 1);
   }
   SECTION("one with the previous key is heard while keys change") {
-    const DatagramSeal receiver("fleet", "fedcba9876543210", kKey);
-    CHECK(receiver.Open(DatagramSeal("fleet", kKey, "").Seal(message)) ==
+    const DatagramAuthenticator receiver("fleet", "fedcba9876543210", kKey);
+    CHECK(receiver.Verify(
+              DatagramAuthenticator("fleet", kKey, "").Sign(message)) ==
           message);
   }
 }
@@ -68,7 +71,7 @@
 TEST_CASE("old news that are replayed do not take a member out again") {
   GossipFleet fleet({.members = 3});
   const std::string slander =
-      DatagramSeal("fleet", kKey, "").Seal(Slander(fleet).Encode());
+      DatagramAuthenticator("fleet", kKey, "").Sign(Slander(fleet).Encode());
   fleet.Inject(0, slander);
   REQUIRE(fleet.RunUntil(
       [&] {
@@ -123,16 +126,16 @@
                           .subject = {*rc::gen::arbitrary<uint64_t>()},
                           .sequence = *rc::gen::arbitrary<uint32_t>(),
                           .address = {address, 7},
-                          .news = {{{*rc::gen::nonZero<uint64_t>()},
-                                    *rc::gen::arbitrary<uint64_t>(),
-                                    MemberState::kSuspected,
-                                    *rc::gen::arbitrary<uint32_t>(),
-                                    *rc::gen::arbitrary<std::string>()}}};
+                          .updates = {{{*rc::gen::nonZero<uint64_t>()},
+                                       *rc::gen::arbitrary<uint64_t>(),
+                                       MemberState::kSuspected,
+                                       *rc::gen::arbitrary<uint32_t>(),
+                                       *rc::gen::arbitrary<std::string>()}}};
     const auto read = GossipMessage::Decode(message.Encode());
     RC_ASSERT(read.has_value());
     RC_ASSERT(read->sender == message.sender);
     RC_ASSERT(read->address == message.address);
-    RC_ASSERT(read->news == message.news);
+    RC_ASSERT(read->updates == message.updates);
   });
 
   rc::prop("mutated messages and pulls with a right tag never crash", [] {
@@ -145,16 +148,16 @@
       return bytes.substr(0, *rc::gen::inRange<size_t>(0, bytes.size() + 1));
     };
     GossipMessage message = Slander(fleet);
-    message.news[0].record = MemberRecord::Encode(fleet.member(2)).bytes;
-    const DatagramSeal seal("fleet", kKey, "");
-    fleet.Inject(0, seal.Seal(mutate(message.Encode())));
+    message.updates[0].record = MemberRecord::Encode(fleet.member(2)).bytes;
+    const DatagramAuthenticator authenticator("fleet", kKey, "");
+    fleet.Inject(0, authenticator.Sign(mutate(message.Encode())));
     membership::PullRequest request{fleet.member(1).id};
     const std::string answer =
         fleet.gossip(0).AnswerPull(fleet.now(), request.Encode());
     fleet.gossip(0).AnswerPull(fleet.now(), mutate(request.Encode()));
     membership::GossipOutput output;
-    fleet.gossip(1).OnPullAnswer(fleet.now(), mutate(answer), output);
-    MemberRecord::Decode(mutate(message.news[0].record));
+    fleet.gossip(1).OnPullResponse(fleet.now(), mutate(answer), output);
+    MemberRecord::Decode(mutate(message.updates[0].record));
     fleet.RunFor(std::chrono::seconds(1));
   });
 }
--- a/tests/auto/membership/mass_start_test.cc
+++ b/tests/auto/membership/mass_start_test.cc
@@ -30,8 +30,8 @@
     // The seeds are known from before; they start like the others.
     const size_t known = std::max<size_t>(1, std::min(kSeeds, slot));
     fleet.Start(slot, (slot * 31 + 7) % known);
-    fleet.Greet(slot, (slot * 17 + 3) % known);
-    fleet.Greet(slot, (slot * 13 + 1) % known);
+    fleet.ContactSeed(slot, (slot * 17 + 3) % known);
+    fleet.ContactSeed(slot, (slot * 13 + 1) % known);
     fleet.RunFor(step);
   }
 }
--- a/tests/auto/membership/record_pull_test.cc
+++ b/tests/auto/membership/record_pull_test.cc
@@ -20,7 +20,7 @@
   return member;
 }
 
-NewsItem ItemOf(const Member& member) {
+MemberUpdate MakeUpdate(const Member& member) {
   RecordCache records;
   const SharedRecord record =
       records.Intern(MemberRecord::Encode(member).bytes);
@@ -31,15 +31,16 @@
   const Member asked = MakeMember(2);
   RecordCache records;
   quarantine::CrashLedger ledger;
-  Gossip gossip(MakeMember(1), {}, DatagramSeal("fleet", "key", ""), records,
-                ledger, base::Random(1), kStart);
-  NewsItem unknown = ItemOf(MakeMember(9));
+  Gossip gossip(MakeMember(1), {}, DatagramAuthenticator("fleet", "key", ""),
+                records, ledger, base::Random(1), kStart);
+  MemberUpdate unknown = MakeUpdate(MakeMember(9));
   unknown.record.clear();
-  const PullAnswer view{.sender = asked.id,
-                        .members = {ItemOf(asked), ItemOf(MakeMember(3)),
-                                    ItemOf(MakeMember(4)), unknown}};
+  const PullResponse view{
+      .sender = asked.id,
+      .members = {MakeUpdate(asked), MakeUpdate(MakeMember(3)),
+                  MakeUpdate(MakeMember(4)), unknown}};
   GossipOutput output;
-  gossip.OnPullAnswer(kStart, view.Encode(), output);
+  gossip.OnPullResponse(kStart, view.Encode(), output);
   REQUIRE(gossip.Members().size() == 4);
 
   SECTION("is asked for elsewhere too") {
@@ -51,8 +52,8 @@
       const bool was_asked = !output.pulls.empty();
       output = {};
       if (was_asked) {
-        const PullAnswer nothing{.sender = asked.id};
-        gossip.OnPullAnswer(now, nothing.Encode(), output);
+        const PullResponse nothing{.sender = asked.id};
+        gossip.OnPullResponse(now, nothing.Encode(), output);
       }
       gossip.Run(now, output);
     }
--- a/tests/auto/quarantine/crash_ledger_test.cc
+++ b/tests/auto/quarantine/crash_ledger_test.cc
@@ -26,11 +26,11 @@
 ServerCrash Crash(uint64_t node,
                   uint32_t life,
                   const std::vector<RequestFingerprint>& running,
-                  base::Duration ran = milliseconds(90)) {
+                  base::Duration run_time = milliseconds(90)) {
   ServerCrash crash{{{node}, life}, {}};
-  const bool is_alone = running.size() == 1;
+  const bool is_sole_suspect = running.size() == 1;
   for (const RequestFingerprint& fingerprint : running)
-    crash.running.push_back({fingerprint, ran, is_alone});
+    crash.running.push_back({fingerprint, run_time, is_sole_suspect});
   return crash;
 }
 
@@ -58,10 +58,11 @@
   SECTION("at the third it is put in quarantine for a moment") {
     const VerdictUntil passed = ledger.VerdictOf(kGuilty, third);
     CHECK(passed.verdict == Verdict::kQuarantined);
-    CHECK(passed.until == third + CrashLedger::kFirstHold);
+    CHECK(passed.until == third + CrashLedger::kFirstQuarantinePeriod);
     CHECK(verdict(kBeside, third) == Verdict::kFree);
   }
-  const Instant tried = third + CrashLedger::kFirstHold + seconds(1);
+  const Instant tried =
+      third + CrashLedger::kFirstQuarantinePeriod + seconds(1);
   SECTION("and is tried again when that has passed") {
     CHECK(verdict(kGuilty, tried) == Verdict::kSuspected);
     SECTION("to be free for good if a server answers it") {
@@ -69,14 +70,15 @@
       CHECK(verdict(kGuilty, tried) == Verdict::kFree);
     }
     SECTION("and forgotten if it does not come") {
-      ledger.Expire(third + CrashLedger::kMemory + seconds(1));
+      ledger.Expire(third + CrashLedger::kRetention + seconds(1));
       CHECK(ledger.size() == 0);
     }
   }
   SECTION("with one end more it stays there") {
     ledger.AddCrash(Crash(14, 1, {kGuilty}), tried);
-    CHECK(ledger.VerdictOf(kGuilty, tried).until == tried + CrashLedger::kHold);
-    const Instant again = tried + CrashLedger::kHold;
+    CHECK(ledger.VerdictOf(kGuilty, tried).until ==
+          tried + CrashLedger::kQuarantinePeriod);
+    const Instant again = tried + CrashLedger::kQuarantinePeriod;
     CHECK(verdict(kGuilty, again - seconds(1)) == Verdict::kQuarantined);
     CHECK(verdict(kGuilty, again) == Verdict::kSuspected);
     SECTION("and, once it is tried again, with each further one") {
@@ -86,7 +88,7 @@
   }
   SECTION("one end counts once, however often it is told") {
     CHECK(ledger.AddCrash(Crash(13, 1, {kGuilty}), third).empty());
-    CHECK(ledger.Find(kGuilty)->marks.size() == 3);
+    CHECK(ledger.Find(kGuilty)->crashes.size() == 3);
   }
 }
 
@@ -156,11 +158,11 @@
   CrashLedger ledger;
   for (uint32_t i = 1; i <= 4; ++i)
     ledger.AddCrash(Crash(10 + i, 1, {kGuilty}), kStart);
-  for (uint64_t i = 0; i < 3 * CrashLedger::kMostRequests; ++i) {
+  for (uint64_t i = 0; i < 3 * CrashLedger::kMaxRequests; ++i) {
     ledger.AddCrash(Crash(11, static_cast<uint32_t>(100 + i), {{1000 + i}}),
                     kStart + milliseconds(i));
   }
-  CHECK(ledger.size() <= CrashLedger::kMostRequests);
+  CHECK(ledger.size() <= CrashLedger::kMaxRequests);
   CHECK(ledger.VerdictOf(kGuilty, kStart + seconds(15)).verdict ==
         Verdict::kQuarantined);
 }
@@ -174,25 +176,25 @@
       const CrashId crash{{*rc::gen::inRange<uint64_t>(1, 12)},
                           *rc::gen::inRange<uint32_t>(1, 3)};
       // Some ends knew nothing of each other.
-      const uint64_t order = crash.node.value / 2 + 10 * crash.life;
+      const uint64_t lamport_time = crash.node.value / 2 + 10 * crash.life;
       const auto age = milliseconds(crash.node.value * 10 + crash.life);
       if (*rc::gen::inRange(0, 4) == 0)
-        one.refuted.push_back({crash, order});
+        one.refuted.push_back({crash, lamport_time});
       else
-        one.marks.push_back({.crash = crash,
-                             .order = order,
-                             .is_alone = true,
-                             .at = kStart - age});
+        one.crashes.push_back({.crash = crash,
+                               .lamport_time = lamport_time,
+                               .is_sole_suspect = true,
+                               .at = kStart - age});
       heard.push_back(one);
     }
     CrashLedger first;
     for (const RequestEvidence& one : heard)
       first.Merge(one, kStart);
-    auto order = heard;
+    auto shuffled = heard;
     base::Random random(*rc::gen::arbitrary<uint64_t>());
-    std::ranges::shuffle(order, random);
+    std::ranges::shuffle(shuffled, random);
     CrashLedger second;
-    for (const RequestEvidence& one : order) {
+    for (const RequestEvidence& one : shuffled) {
       second.Merge(one, kStart);
       second.Merge(one, kStart);
     }
@@ -212,7 +214,7 @@
                     kStart);
     }
     CrashLedger fresh;
-    for (const RequestEvidence& told : full.Telling())
+    for (const RequestEvidence& told : full.SharedEvidence())
       fresh.Merge(told, kStart);
     RC_ASSERT(fresh.digest() == full.digest());
     for (uint64_t i = 1; i < 4; ++i)
--- a/tests/auto/quarantine/ending_world.cc
+++ b/tests/auto/quarantine/crash_simulation.cc
@@ -1,4 +1,4 @@
-#include "ending_world.h"
+#include "crash_simulation.h"
 
 #include <algorithm>
 #include <utility>
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-EndingWorld::EndingWorld(const WorldOptions& options)
+CrashSimulation::CrashSimulation(const CrashSimulationOptions& options)
     : options_(options), random_(options.seed), end_(now_ + options.length) {
   servers_.resize(options.servers);
   for (size_t i = 0; i < servers_.size(); ++i) {
@@ -36,7 +36,7 @@
     After(options.mass_interval, [this] { EndMany(); });
 }
 
-WorldResult EndingWorld::Run() {
+CrashSimulationResult CrashSimulation::Run() {
   ArriveNext();
   Tick();
   for (size_t i = 0; i < options_.guilty; ++i) {
@@ -74,25 +74,25 @@
   return result_;
 }
 
-void EndingWorld::At(Instant when, std::function<void()> act) {
+void CrashSimulation::At(Instant when, std::function<void()> act) {
   events_.push({when, ++order_, std::move(act)});
 }
 
-void EndingWorld::After(Duration delay, std::function<void()> act) {
+void CrashSimulation::After(Duration delay, std::function<void()> act) {
   At(now_ + delay, std::move(act));
 }
 
-double EndingWorld::Chance() {
+double CrashSimulation::Chance() {
   return std::uniform_real_distribution<>(0, 1)(random_);
 }
 
-Duration EndingWorld::Exponential(Duration mean) {
+Duration CrashSimulation::Exponential(Duration mean) {
   const double drawn = std::exponential_distribution<>(1)(random_);
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(mean) * drawn);
 }
 
-void EndingWorld::ArriveNext() {
+void CrashSimulation::ArriveNext() {
   const bool is_popular = Chance() < options_.popular_share;
   const bool is_long = !is_popular && Chance() < options_.long_share;
   const uint64_t content =
@@ -106,14 +106,14 @@
   After(Exponential(interval), [this] { ArriveNext(); });
 }
 
-void EndingWorld::Begin(Call call) {
+void CrashSimulation::Begin(Call call) {
   const uint64_t id = ++last_call_;
   ++result_.calls;
   calls_[id] = std::move(call);
   Send(id);
 }
 
-void EndingWorld::Send(uint64_t id) {
+void CrashSimulation::Send(uint64_t id) {
   Call& call = calls_[id];
   const VerdictUntil verdict = verdicts_->Of(call.content);
   if (verdict.verdict == Verdict::kQuarantined) {
@@ -133,7 +133,7 @@
     Start(id, *server);
 }
 
-EndingWorld::Server* EndingWorld::Choose(const Call& call) {
+CrashSimulation::Server* CrashSimulation::Choose(const Call& call) {
   std::vector<Server*> up;
   std::vector<routing::ServerCandidate> candidates;
   for (Server& server : servers_) {
@@ -155,11 +155,11 @@
       up, {}, [](const Server* server) { return server->running.size(); });
 }
 
-bool EndingWorld::IsSuspect(const Call& call) const {
+bool CrashSimulation::IsSuspect(const Call& call) const {
   return call.lost >= 2 || !verdicts_->IsFree(call.content);
 }
 
-void EndingWorld::Start(uint64_t id, Server& server) {
+void CrashSimulation::Start(uint64_t id, Server& server) {
   const Call& call = calls_[id];
   const uint64_t attempt = ++last_attempt_;
   server.running[attempt] = {id, call.content, IsSuspect(call), now_};
@@ -170,20 +170,20 @@
   });
 }
 
-void EndingWorld::OnRunOver(size_t index, uint32_t life, uint64_t attempt) {
+void CrashSimulation::OnRunOver(size_t index, uint32_t life, uint64_t attempt) {
   Server& server = servers_[index];
   if (!server.is_up || server.life != life)
     return;
   const Call& call = calls_[server.running[attempt].call];
   if (call.is_guilty) {
     guilty_ends_[call.content.value].push_back(now_);
-    EndServer(server);
+    CrashServer(server);
   } else {
     OnAnswered(server, attempt);
   }
 }
 
-void EndingWorld::OnAnswered(Server& server, uint64_t number) {
+void CrashSimulation::OnAnswered(Server& server, uint64_t number) {
   const Attempt attempt = server.running[number];
   server.running.erase(number);
   calls_.erase(attempt.call);
@@ -193,7 +193,7 @@
   Tell([this, content = attempt.content] { ledger_.Refute(content, now_); });
 }
 
-void EndingWorld::OnRefused(uint64_t id, base::ErrorKind error) {
+void CrashSimulation::OnRefused(uint64_t id, base::ErrorKind error) {
   const Call& call = calls_[id];
   const bool may_move = error == base::ErrorKind::kRequestSuspected &&
                         static_cast<int>(call.tried.size()) < kMostSends;
@@ -206,7 +206,7 @@
   calls_.erase(id);
 }
 
-void EndingWorld::OnLost(uint64_t id) {
+void CrashSimulation::OnLost(uint64_t id) {
   Call& call = calls_[id];
   ++call.lost;
   if (call.lost < kMostServers) {
@@ -223,7 +223,7 @@
   After(milliseconds(10), [this, returned] { Begin(returned); });
 }
 
-void EndingWorld::EndServer(Server& server) {
+void CrashSimulation::CrashServer(Server& server) {
   ++result_.ends;
   server.is_up = false;
   std::vector<RunningRequest> running;
@@ -236,7 +236,7 @@
   }
   server.running.clear();
   const ServerCrash crash =
-      server.guard.Blame({server.node, server.life}, running, now_);
+      server.guard.AttributeCrash({server.node, server.life}, running, now_);
   Tell([this, crash] { ledger_.AddCrash(crash, now_); });
   for (const uint64_t call : lost)
     OnLost(call);
@@ -248,32 +248,32 @@
   });
 }
 
-void EndingWorld::ScheduleChanceEnd(size_t index) {
+void CrashSimulation::ScheduleChanceEnd(size_t index) {
   if (options_.mean_life == Duration::zero())
     return;
   After(Exponential(options_.mean_life),
         [this, index, life = servers_[index].life] {
           if (servers_[index].is_up && servers_[index].life == life)
-            EndServer(servers_[index]);
+            CrashServer(servers_[index]);
         });
 }
 
-void EndingWorld::EndMany() {
+void CrashSimulation::EndMany() {
   for (Server& server : servers_) {
     if (server.is_up && Chance() < options_.mass_share)
-      EndServer(server);
+      CrashServer(server);
   }
   After(options_.mass_interval, [this] { EndMany(); });
 }
 
-void EndingWorld::Tell(std::function<void()> news) {
+void CrashSimulation::Tell(std::function<void()> news) {
   After(options_.news_delay, [this, news = std::move(news)] {
     news();
     PublishVerdicts();
   });
 }
 
-void EndingWorld::PublishVerdicts() {
+void CrashSimulation::PublishVerdicts() {
   verdicts_ = std::make_shared<const Verdicts>(ledger_.AllVerdicts(now_));
   for (Server& server : servers_) {
     for (const RequestFingerprint& content :
@@ -288,13 +288,13 @@
     if (verdict.verdict == Verdict::kQuarantined)
       wrong_quarantines_.insert(content.value);
     if (verdict.verdict == Verdict::kQuarantined &&
-        verdict.until > now_ + CrashLedger::kFirstHold)
+        verdict.until > now_ + CrashLedger::kFirstQuarantinePeriod)
       wrong_long_holds_.insert(content.value);
   }
 }
 
 // Verdicts end with time, too.
-void EndingWorld::Tick() {
+void CrashSimulation::Tick() {
   ledger_.Expire(now_);
   PublishVerdicts();
   After(seconds(1), [this] { Tick(); });
--- a/tests/auto/quarantine/ending_world.h
+++ b/tests/auto/quarantine/crash_simulation.h
@@ -1,7 +1,7 @@
 // Servers that end, callers that return, and the product's own decisions on
 // which request may run: in one process and in virtual time.
-#ifndef QUARANTINE_ENDING_WORLD_H_
-#define QUARANTINE_ENDING_WORLD_H_
+#ifndef QUARANTINE_CRASH_SIMULATION_H_
+#define QUARANTINE_CRASH_SIMULATION_H_
 
 #include <cstdint>
 #include <functional>
@@ -14,11 +14,11 @@
 #include "base/random.h"
 #include "base/time.h"
 #include "quarantine/crash_ledger.h"
-#include "quarantine/gate_guard.h"
+#include "quarantine/quarantine_filter.h"
 
 namespace chestnutport::quarantine {
 
-struct WorldOptions {
+struct CrashSimulationOptions {
   uint64_t seed = 1;
   size_t servers = 7;
   base::Duration length = std::chrono::seconds(60);
@@ -44,7 +44,7 @@
   base::Duration guilty_run = std::chrono::milliseconds(90);
 };
 
-struct WorldResult {
+struct CrashSimulationResult {
   size_t calls = 0;
   size_t answered = 0;
   size_t ends = 0;
@@ -59,11 +59,11 @@
   size_t guilty_in_quarantine = 0;
 };
 
-class EndingWorld {
+class CrashSimulation {
  public:
-  explicit EndingWorld(const WorldOptions& options);
+  explicit CrashSimulation(const CrashSimulationOptions& options);
 
-  WorldResult Run();
+  CrashSimulationResult Run();
 
  private:
   struct Attempt {
@@ -76,7 +76,7 @@
     base::NodeId node;
     uint32_t life = 1;
     bool is_up = true;
-    GateGuard guard;
+    QuarantineFilter guard;
     std::map<uint64_t, Attempt> running;  // By the attempt's number.
   };
   struct Call {
@@ -113,14 +113,14 @@
   void OnAnswered(Server& server, uint64_t attempt);
   void OnRefused(uint64_t id, base::ErrorKind error);
   void OnLost(uint64_t id);
-  void EndServer(Server& server);
+  void CrashServer(Server& server);
   void ScheduleChanceEnd(size_t server);
   void EndMany();
   void Tell(std::function<void()> news);
   void PublishVerdicts();
   void Tick();
 
-  WorldOptions options_;
+  CrashSimulationOptions options_;
   base::Random random_;
   base::Instant now_{std::chrono::hours(1)};
   base::Instant end_;
@@ -138,9 +138,9 @@
   std::set<uint64_t> wrong_quarantines_;
   std::set<uint64_t> wrong_long_holds_;
   std::map<uint64_t, std::vector<base::Instant>> guilty_ends_;
-  WorldResult result_;
+  CrashSimulationResult result_;
 };
 
 }  // namespace chestnutport::quarantine
 
-#endif  // QUARANTINE_ENDING_WORLD_H_
+#endif  // QUARANTINE_CRASH_SIMULATION_H_
--- a/tests/auto/quarantine/ending_world_test.cc
+++ b/tests/auto/quarantine/ending_world_test.cc
@@ -1,6 +1,6 @@
 // Whom verdicts fall on: nobody, where servers end of other reasons; and what
 // ends servers, soon.
-#include "ending_world.h"
+#include "crash_simulation.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -34,10 +34,10 @@
   size_t most_late = 0;
 };
 
-Sum PlayAll(WorldOptions options) {
+Sum PlayAll(CrashSimulationOptions options) {
   Sum sum;
   for (options.seed = 1; options.seed <= kSeeds; ++options.seed) {
-    const WorldResult result = EndingWorld(options).Run();
+    const CrashSimulationResult result = CrashSimulation(options).Run();
     sum.calls += result.calls;
     sum.answered += result.answered;
     sum.ends += result.ends;
@@ -70,7 +70,7 @@
 }
 
 TEST_CASE("servers that end by chance") {
-  WorldOptions options;
+  CrashSimulationOptions options;
   SECTION("each every ten seconds of its life") {
     options.mean_life = seconds(10);
   }
@@ -91,7 +91,7 @@
 }
 
 TEST_CASE("servers that requests end") {
-  WorldOptions options;
+  CrashSimulationOptions options;
   options.guilty = 1;
   SECTION("one request") {}
   SECTION("one that returns every second") {
--- a/tests/auto/quarantine/evidence_codec_test.cc
+++ b/tests/auto/quarantine/evidence_codec_test.cc
@@ -18,15 +18,15 @@
   const auto count = *rc::gen::inRange(1, 20);
   for (int i = 0; i < count; ++i) {
     RequestEvidence one{{*rc::gen::inRange<uint64_t>(1, UINT64_MAX)}, {}, {}};
-    const auto marks = *rc::gen::inRange(0, 9);
-    for (int mark = 0; mark < marks; ++mark) {
-      one.marks.push_back(
+    const auto crashes = *rc::gen::inRange(0, 9);
+    for (int mark = 0; mark < crashes; ++mark) {
+      one.crashes.push_back(
           {.crash = {{*rc::gen::arbitrary<uint64_t>()},
                      *rc::gen::arbitrary<uint32_t>()},
-           .order = *rc::gen::arbitrary<uint64_t>(),
-           .ran = milliseconds(*rc::gen::inRange(0, 100000)),
-           .other_ends = *rc::gen::inRange(0, 64),
-           .is_alone = *rc::gen::arbitrary<bool>(),
+           .lamport_time = *rc::gen::arbitrary<uint64_t>(),
+           .run_time = milliseconds(*rc::gen::inRange(0, 100000)),
+           .other_crashes = *rc::gen::inRange(0, 64),
+           .is_sole_suspect = *rc::gen::arbitrary<bool>(),
            .at = kStart - milliseconds(*rc::gen::inRange(0, 100000))});
     }
     const auto refuted = *rc::gen::inRange(0, 9);
@@ -54,13 +54,16 @@
       size += EncodedSize(sent[i]);
       RC_ASSERT(read[i].fingerprint == sent[i].fingerprint);
       RC_ASSERT(read[i].refuted == sent[i].refuted);
-      RC_ASSERT(read[i].marks.size() == sent[i].marks.size());
-      for (size_t mark = 0; mark < sent[i].marks.size(); ++mark) {
-        RC_ASSERT(read[i].marks[mark].crash == sent[i].marks[mark].crash);
-        RC_ASSERT(read[i].marks[mark].order == sent[i].marks[mark].order);
-        RC_ASSERT(read[i].marks[mark].ran == sent[i].marks[mark].ran);
-        RC_ASSERT(read[i].marks[mark].is_alone == sent[i].marks[mark].is_alone);
-        RC_ASSERT(read[i].marks[mark].at == sent[i].marks[mark].at + shift);
+      RC_ASSERT(read[i].crashes.size() == sent[i].crashes.size());
+      for (size_t mark = 0; mark < sent[i].crashes.size(); ++mark) {
+        RC_ASSERT(read[i].crashes[mark].crash == sent[i].crashes[mark].crash);
+        RC_ASSERT(read[i].crashes[mark].lamport_time ==
+                  sent[i].crashes[mark].lamport_time);
+        RC_ASSERT(read[i].crashes[mark].run_time ==
+                  sent[i].crashes[mark].run_time);
+        RC_ASSERT(read[i].crashes[mark].is_sole_suspect ==
+                  sent[i].crashes[mark].is_sole_suspect);
+        RC_ASSERT(read[i].crashes[mark].at == sent[i].crashes[mark].at + shift);
       }
     }
     RC_ASSERT(bytes.size() <= size);
--- a/tests/auto/quarantine/gate_guard_test.cc
+++ b/tests/auto/quarantine/gate_guard_test.cc
@@ -1,5 +1,5 @@
 // Which requests a gate lets to its server, and which answer for its end.
-#include "quarantine/gate_guard.h"
+#include "quarantine/quarantine_filter.h"
 
 #include <catch2/catch.hpp>
 
@@ -26,7 +26,7 @@
 }
 
 TEST_CASE("a gate that knows verdicts") {
-  GateGuard guard;
+  QuarantineFilter guard;
   guard.SetVerdicts(SomeVerdicts(), 1, kStart);
 
   SECTION("lets others run") {
@@ -59,14 +59,14 @@
   }
 
   SECTION("sees a suspect in what had started before the verdict") {
-    GateGuard earlier;
+    QuarantineFilter earlier;
     earlier.OnStarted({1, 1}, {kSuspect});
     earlier.SetVerdicts(SomeVerdicts(), 1, kStart);
     CHECK(earlier.Judge({{4}}, kStart));
   }
 
   SECTION("speaks for what its server had answered when it became a suspect") {
-    GateGuard earlier;
+    QuarantineFilter earlier;
     earlier.OnEnded({1, 1}, kSuspect, 1, kStart - seconds(5));
     const auto spoken_for = earlier.SetVerdicts(SomeVerdicts(), 1, kStart);
     CHECK(spoken_for == std::vector<RequestFingerprint>{kSuspect});
@@ -81,32 +81,32 @@
 }
 
 TEST_CASE("a server ends with what it ran") {
-  GateGuard guard;
+  QuarantineFilter guard;
   const std::vector<RunningRequest> running = {{kOther, milliseconds(90)},
                                                {kSuspect, milliseconds(20)},
                                                {kOther, milliseconds(40)},
                                                {{5}, milliseconds(50)}};
 
   SECTION("all answer for it, each once") {
-    const auto blamed = guard.Blame({{9}, 1}, running, kStart).running;
+    const auto blamed = guard.AttributeCrash({{9}, 1}, running, kStart).running;
     REQUIRE(blamed.size() == 3);
     CHECK(blamed[1].fingerprint == kOther);
-    CHECK(blamed[1].ran == milliseconds(40));
+    CHECK(blamed[1].run_time == milliseconds(40));
   }
 
   SECTION("but for what this life of the server had answered lately") {
     guard.OnEnded({1, 1}, kOther, 1, kStart - seconds(5));
-    CHECK(guard.Blame({{9}, 1}, running, kStart).running.size() == 2);
-    CHECK(guard.Blame({{9}, 2}, running, kStart).running.size() == 3);
-    CHECK(guard.Blame({{9}, 1}, running, kStart + seconds(60)).running.size() ==
-          3);
+    CHECK(guard.AttributeCrash({{9}, 1}, running, kStart).running.size() == 2);
+    CHECK(guard.AttributeCrash({{9}, 2}, running, kStart).running.size() == 3);
+    CHECK(guard.AttributeCrash({{9}, 1}, running, kStart + seconds(60))
+              .running.size() == 3);
   }
 
   SECTION("a suspect before the others, whatever its age") {
     guard.SetVerdicts(SomeVerdicts(), 1, kStart);
     std::vector<RunningRequest> more = running;
     more.push_back({{6}, seconds(9), true});
-    const auto blamed = guard.Blame({{9}, 1}, more, kStart).running;
+    const auto blamed = guard.AttributeCrash({{9}, 1}, more, kStart).running;
     REQUIRE(blamed.size() == 4);
     CHECK(blamed[0].fingerprint == kSuspect);
     CHECK(blamed[0].is_suspect);
@@ -118,9 +118,10 @@
     std::vector<RunningRequest> many;
     for (uint64_t i = 1; i <= 1000; ++i)
       many.push_back({{i}, milliseconds(i)});
-    const auto blamed = guard.Blame({{9}, 1}, many, kStart).running;
-    REQUIRE(blamed.size() == GateGuard::kMostBlamed);
-    CHECK(blamed.back().ran == milliseconds(GateGuard::kMostBlamed));
+    const auto blamed = guard.AttributeCrash({{9}, 1}, many, kStart).running;
+    REQUIRE(blamed.size() == QuarantineFilter::kMaxAttributedRequests);
+    CHECK(blamed.back().run_time ==
+          milliseconds(QuarantineFilter::kMaxAttributedRequests));
   }
 }
 
--- a/tests/benchmarks/control/gossip_scenarios.cc
+++ b/tests/benchmarks/control/gossip_scenarios.cc
@@ -144,7 +144,7 @@
 void ReportFalseAlarms(FigureReport& report,
                        std::string_view scenario,
                        GossipFleet& fleet) {
-  const test::FalseAlarms& alarms = fleet.false_alarms();
+  const test::FalsePositives& alarms = fleet.false_positives();
   const auto count = [&](std::string_view figure, uint64_t value) {
     report.Add({Name(scenario, fleet.size(), figure),
                 static_cast<double>(value), "views"});
@@ -184,7 +184,7 @@
 void MeasureMemory(FigureReport& report, size_t members) {
   constexpr size_t kNodes = 10;
   const GossipFleet fleet({.members = members, .converged = false});
-  const std::string view = fleet.WholeView();
+  const std::string view = fleet.FullPullResponse();
   const size_t before = ResidentBytes();
   std::vector<std::unique_ptr<membership::RecordCache>> caches;
   std::vector<std::unique_ptr<quarantine::CrashLedger>> ledgers;
@@ -194,10 +194,10 @@
     ledgers.push_back(std::make_unique<quarantine::CrashLedger>());
     nodes.push_back(std::make_unique<membership::Gossip>(
         fleet.member(0), membership::GossipOptions{},
-        membership::DatagramSeal("fleet", "0123456789abcdef", ""),
+        membership::DatagramAuthenticator("fleet", "0123456789abcdef", ""),
         *caches.back(), *ledgers.back(), base::Random(i), fleet.now()));
     membership::GossipOutput output;
-    nodes.back()->OnPullAnswer(fleet.now(), view, output);
+    nodes.back()->OnPullResponse(fleet.now(), view, output);
   }
   const double bytes = static_cast<double>(ResidentBytes() - before) / kNodes;
   report.Add({.name = Name("memory", members, "resident"),
@@ -341,14 +341,14 @@
   GossipFleet fleet({.members = members, .seed = 7});
   fleet.RunFor(seconds(3));
   const Cost cut_cost(fleet);
-  fleet.Cut([&](size_t a, size_t b) {
+  fleet.Partition([&](size_t a, size_t b) {
     return (fleet.RegionOf(a) < 2) != (fleet.RegionOf(b) < 2);
   });
   fleet.RunFor(minutes(3));
   cut_cost.Report(report, "regions cut");
   const Cost cost(fleet);
-  fleet.Cut(nullptr);
-  fleet.false_alarms() = {};
+  fleet.Partition(nullptr);
+  fleet.false_positives() = {};
   ReportConvergence(report, Name("regions healed", members, "all know all"),
                     fleet, seconds(60));
   fleet.RunFor(seconds(30));
@@ -369,8 +369,8 @@
   for (size_t slot = 0; slot < members; ++slot) {
     const size_t known = std::max<size_t>(1, std::min(seeds, slot));
     fleet.Start(slot, (slot * 31 + 7) % known);
-    fleet.Greet(slot, (slot * 17 + 3) % known);
-    fleet.Greet(slot, (slot * 13 + 1) % known);
+    fleet.ContactSeed(slot, (slot * 17 + 3) % known);
+    fleet.ContactSeed(slot, (slot * 13 + 1) % known);
     fleet.RunFor(step);
   }
   ReportConvergence(report, Name("mass start", members, "all know all"), fleet,
--- a/tests/support/gate_scene.cc
+++ b/tests/support/gate_scene.cc
@@ -32,7 +32,7 @@
 }
 
 wire::PeerRequestHead HeadOf(uint64_t sequence,
-                             const quarantine::GuardedRequest& request) {
+                             const quarantine::IncomingRequest& request) {
   wire::PeerRequestHead head = MakeHead(sequence);
   head.fingerprint = request.fingerprint;
   head.is_suspect = request.is_suspect;
@@ -83,11 +83,11 @@
 }
 
 base::AttemptId GateScene::BeginGuarded(
-    const quarantine::GuardedRequest& request) {
+    const quarantine::IncomingRequest& request) {
   return Send(HeadOf(++last_, request), "GET");
 }
 
-base::AttemptId GateScene::BeginKeyed(const quarantine::GuardedRequest& asked,
+base::AttemptId GateScene::BeginKeyed(const quarantine::IncomingRequest& asked,
                                       const std::string& key) {
   return Send(
       HeadOf(++last_, asked), "POST",
@@ -115,7 +115,7 @@
 }
 
 net::TransferResult GateScene::Inquire(
-    const quarantine::GuardedRequest& asked) {
+    const quarantine::IncomingRequest& asked) {
   wire::PeerRequestHead head = MakeHead(++last_);
   head.fingerprint = asked.fingerprint;
   head.is_suspect = asked.is_suspect;
--- a/tests/support/gate_scene.h
+++ b/tests/support/gate_scene.h
@@ -34,9 +34,9 @@
                         base::Duration remaining = std::chrono::seconds(10));
   // The same of a certain request, by the word of the other node a suspect or
   // not.
-  base::AttemptId BeginGuarded(const quarantine::GuardedRequest& request);
+  base::AttemptId BeginGuarded(const quarantine::IncomingRequest& request);
   // The same with an idempotency key; see OwnKeys().
-  base::AttemptId BeginKeyed(const quarantine::GuardedRequest& request,
+  base::AttemptId BeginKeyed(const quarantine::IncomingRequest& request,
                              const std::string& key);
   // Makes the gate's node the owner of all keys.
   void OwnKeys();
@@ -46,7 +46,7 @@
   // The server ends; nobody listens at its address any more.
   void EndServer() { server_.reset(); }
   // Whether the gate would let a request in.
-  net::TransferResult Inquire(const quarantine::GuardedRequest& request = {});
+  net::TransferResult Inquire(const quarantine::IncomingRequest& request = {});
   // Waits for the end of an attempt.
   net::TransferResult Run(const std::string& method);
   // The state of the attempt, as the gate says.
--- a/tests/support/gossip_fleet.cc
+++ b/tests/support/gossip_fleet.cc
@@ -21,7 +21,7 @@
 constexpr size_t kServices = 200;
 constexpr uint16_t kPort = 7400;
 constexpr uint32_t kNetwork = 10U << 24;
-constexpr size_t kPacketHead = 28;
+constexpr size_t kPacketOverhead = 28;
 // Heads of a control call and its answer, with those of TCP.
 constexpr size_t kCallHeads = 900;
 // The kernel's buffer of a socket that nobody reads.
@@ -74,25 +74,25 @@
   place.ledger = std::make_unique<quarantine::CrashLedger>();
   place.gossip = std::make_unique<membership::Gossip>(
       member, options_.gossip,
-      membership::DatagramSeal("fleet", "0123456789abcdef", ""), records_,
-      *place.ledger, base::Random(random_()), now_);
+      membership::DatagramAuthenticator("fleet", "0123456789abcdef", ""),
+      records_, *place.ledger, base::Random(random_()), now_);
   place.frozen = false;
   ++place.life;
-  place.waiting.clear();
+  place.pending_datagrams.clear();
   GossipOutput none;
   Apply(slot, none);
 }
 
 void GossipFleet::Converge() {
-  const std::string view = WholeView();
+  const std::string view = FullPullResponse();
   for (Slot& slot : slots_) {
     GossipOutput output;
-    slot.gossip->OnPullAnswer(now_, view, output);
+    slot.gossip->OnPullResponse(now_, view, output);
   }
 }
 
-std::string GossipFleet::WholeView() const {
-  membership::PullAnswer all;
+std::string GossipFleet::FullPullResponse() const {
+  membership::PullResponse all;
   all.sender = slots_[0].member.id;
   for (size_t part = 0; part < membership::kViewParts; ++part)
     all.parts.push_back(static_cast<uint8_t>(part));
@@ -141,8 +141,8 @@
   if (!slot.gossip)
     return;
   if (event.kind == Kind::kDatagram && slot.frozen) {
-    if (slot.waiting.size() < kLargestWaiting)
-      slot.waiting.emplace_back(from, std::move(event.bytes));
+    if (slot.pending_datagrams.size() < kLargestWaiting)
+      slot.pending_datagrams.emplace_back(from, std::move(event.bytes));
     return;
   }
   if (slot.frozen)
@@ -166,7 +166,7 @@
       return;
     }
     case Kind::kPullAnswer:
-      slot.gossip->OnPullAnswer(now_, event.bytes, output);
+      slot.gossip->OnPullResponse(now_, event.bytes, output);
       break;
     case Kind::kPullFailed:
       slot.gossip->OnPullFailed(now_);
@@ -179,7 +179,7 @@
   for (auto& datagram : output.datagrams) {
     const size_t to = SlotAt(datagram.to);
     ++traffic_.datagrams;
-    traffic_.datagram_bytes += datagram.bytes.size() + kPacketHead;
+    traffic_.datagram_bytes += datagram.bytes.size() + kPacketOverhead;
     if (to >= slots_.size() || !Delivers(slot, to))
       continue;
     if (Chance() < options_.duplication)
@@ -206,7 +206,7 @@
   const size_t to = SlotAt(pull.control_address);
   ++traffic_.pulls;
   traffic_.pull_bytes += pull.request.size() + kCallHeads;
-  const bool cut = is_cut_ && is_cut_(slot, to);
+  const bool cut = is_partitioned_ && is_partitioned_(slot, to);
   if (to >= slots_.size() || cut || !IsUp(to)) {
     Schedule(now_ + kPullTimeout, Kind::kPullFailed, slot, slot, "");
     return;
@@ -220,18 +220,18 @@
   const size_t slot = found == slot_of_.end() ? size() : found->second;
   const bool is_well = slot < size() && IsUp(slot) &&
                        slots_[slot].member.id == change.member.id &&
-                       !(is_cut_ && is_cut_(observer, slot));
+                       !(is_partitioned_ && is_partitioned_(observer, slot));
   const auto key = std::make_pair(observer, change.member.id);
   if (change.member.state == MemberState::kAlive) {
     const auto gone = gone_since_.find(key);
     if (gone != gone_since_.end()) {
-      false_alarms_.longest_gone =
-          std::max(false_alarms_.longest_gone, now_ - gone->second);
+      false_positives_.longest_gone =
+          std::max(false_positives_.longest_gone, now_ - gone->second);
       gone_since_.erase(gone);
     }
   } else if (is_well) {
     const bool is_gone = change.member.state >= MemberState::kGone;
-    ++(is_gone ? false_alarms_.gone : false_alarms_.suspected);
+    ++(is_gone ? false_positives_.gone : false_positives_.suspected);
     if (is_gone)
       gone_since_.try_emplace(key, now_);
   }
@@ -240,7 +240,7 @@
 }
 
 bool GossipFleet::Delivers(size_t from, size_t to) {
-  if (is_cut_ && is_cut_(from, to))
+  if (is_partitioned_ && is_partitioned_(from, to))
     return false;
   return options_.loss <= 0 || Chance() >= options_.loss;
 }
@@ -286,7 +286,7 @@
   GossipOutput output;
   place.gossip->Run(now_, output);
   Apply(slot, output);
-  for (auto& [from, bytes] : std::exchange(place.waiting, {})) {
+  for (auto& [from, bytes] : std::exchange(place.pending_datagrams, {})) {
     GossipOutput received;
     place.gossip->Receive(now_, from, bytes, received);
     Apply(slot, received);
@@ -294,16 +294,16 @@
 }
 
 void GossipFleet::Start(size_t slot, size_t seed) {
-  StartAlone(slot);
-  Greet(slot, seed);
+  StartWithoutSeed(slot);
+  ContactSeed(slot, seed);
 }
 
-void GossipFleet::StartAlone(size_t slot) {
+void GossipFleet::StartWithoutSeed(size_t slot) {
   Kill(slot);
   AddGossip(slot);
 }
 
-void GossipFleet::Greet(size_t slot, size_t seed) {
+void GossipFleet::ContactSeed(size_t slot, size_t seed) {
   GossipOutput output;
   slots_[slot].gossip->Contact(now_, AddressOf(seed), output);
   Apply(slot, output);
@@ -330,7 +330,7 @@
   Apply(slot, output);
 }
 
-void GossipFleet::EndServer(
+void GossipFleet::CrashServer(
     size_t slot,
     uint32_t life,
     const std::vector<quarantine::RunningRequest>& running) {
@@ -341,14 +341,14 @@
     told.push_back(evidence.fingerprint);
   }
   GossipOutput output;
-  place.gossip->TellEvidence(now_, told, output);
+  place.gossip->AnnounceEvidence(now_, told, output);
   Apply(slot, output);
 }
 
 void GossipFleet::Refute(size_t slot, base::RequestFingerprint fingerprint) {
   GossipOutput output;
   if (slots_[slot].ledger->Refute(fingerprint, now_))
-    slots_[slot].gossip->TellEvidence(now_, {&fingerprint, 1}, output);
+    slots_[slot].gossip->AnnounceEvidence(now_, {&fingerprint, 1}, output);
   Apply(slot, output);
 }
 
--- a/tests/support/gossip_fleet.h
+++ b/tests/support/gossip_fleet.h
@@ -35,7 +35,7 @@
 };
 
 // How often and for how long a reachable member was held to be out.
-struct FalseAlarms {
+struct FalsePositives {
   uint64_t suspected = 0;  // Views of one node about one member.
   uint64_t gone = 0;
   base::Duration longest_gone{};
@@ -46,7 +46,7 @@
   using OnChange = std::function<void(size_t observer,
                                       const membership::MemberChange& change)>;
   using OnRevision = std::function<void(size_t observer, uint64_t revision)>;
-  using IsCut = std::function<bool(size_t from, size_t to)>;
+  using IsPartitioned = std::function<bool(size_t from, size_t to)>;
 
   explicit GossipFleet(const GossipFleetOptions& options);
 
@@ -64,22 +64,24 @@
   // Starts a new node in the slot, which knows one seed.
   void Start(size_t slot, size_t seed);
   // The same, but it knows nobody.
-  void StartAlone(size_t slot);
+  void StartWithoutSeed(size_t slot);
   // Lets the node in `slot` say hello to another seed.
-  void Greet(size_t slot, size_t seed);
+  void ContactSeed(size_t slot, size_t seed);
   void Drain(size_t slot);
   void AnnounceRevision(size_t slot, uint64_t revision);
   // The node reads this from the store.
   void ReadEvacuations(size_t slot, const evacuation::Evacuations& read);
   // The server beside the node ends while it runs the requests. `life` counts
   // its starts.
-  void EndServer(size_t slot,
-                 uint32_t life,
-                 const std::vector<quarantine::RunningRequest>& running);
+  void CrashServer(size_t slot,
+                   uint32_t life,
+                   const std::vector<quarantine::RunningRequest>& running);
   // The server beside the node answered a request that it was not to answer.
   void Refute(size_t slot, base::RequestFingerprint fingerprint);
   quarantine::CrashLedger& ledger(size_t slot) { return *slots_[slot].ledger; }
-  void Cut(IsCut is_cut) { is_cut_ = std::move(is_cut); }
+  void Partition(IsPartitioned is_partitioned) {
+    is_partitioned_ = std::move(is_partitioned);
+  }
   void Inject(size_t slot, const std::string& datagram);
   void SetLoss(double loss) { options_.loss = loss; }
 
@@ -101,9 +103,9 @@
     on_revision_ = std::move(handler);
   }
   const GossipTraffic& traffic() const { return traffic_; }
-  FalseAlarms& false_alarms() { return false_alarms_; }
+  FalsePositives& false_positives() { return false_positives_; }
   // The answer to a pull that teaches the whole fleet, records included.
-  std::string WholeView() const;
+  std::string FullPullResponse() const;
 
  private:
   struct Slot {
@@ -113,7 +115,7 @@
     bool frozen = false;
     uint64_t life = 0;
     base::Instant timer{};
-    std::deque<std::pair<base::SocketAddress, std::string>> waiting;
+    std::deque<std::pair<base::SocketAddress, std::string>> pending_datagrams;
   };
   enum class Kind { kTimer, kDatagram, kPull, kPullAnswer, kPullFailed };
   struct Event {
@@ -153,11 +155,11 @@
   std::vector<Slot> slots_;
   absl::flat_hash_map<base::NodeId, size_t> slot_of_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
-  IsCut is_cut_;
+  IsPartitioned is_partitioned_;
   OnChange on_change_;
   OnRevision on_revision_;
   GossipTraffic traffic_;
-  FalseAlarms false_alarms_;
+  FalsePositives false_positives_;
   absl::flat_hash_map<std::pair<size_t, base::NodeId>, base::Instant>
       gone_since_;
 };
