--- a/src/libs/quarantine/crash_id.h
+++ b/src/libs/quarantine/crash_id.h
@@ -1,4 +1,4 @@
-// Names one end of one server.
+// Identifies one crash of one server.
 #ifndef QUARANTINE_CRASH_ID_H_
 #define QUARANTINE_CRASH_ID_H_
 
@@ -11,8 +11,8 @@
 namespace chestnutport::quarantine {
 
 struct CrashId {
-  base::NodeId node;  // Beside the server.
-  uint32_t life = 0;  // Of the server, as that node counts them.
+  base::NodeId node;  // The node beside the server.
+  uint32_t life = 0;  // Counter of the server's starts, kept by that node.
 
   // The linter takes the zero inside the defaulted comparison for a pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
--- a/src/libs/quarantine/crash_ledger.cc
+++ b/src/libs/quarantine/crash_ledger.cc
@@ -12,27 +12,27 @@
 using base::Instant;
 using base::RequestFingerprint;
 
-// Of marks, or of refuted ends.
-template <typename End>
-bool Holds(const std::vector<End>& ends, const CrashId& id) {
-  return std::ranges::find(ends, id, &End::crash) != ends.end();
+// Accepts observations and refuted crashes.
+template <typename Crash>
+bool Holds(const std::vector<Crash>& crashes, const CrashId& id) {
+  return std::ranges::find(crashes, id, &Crash::crash) != crashes.end();
 }
 
-// The order in which ends are kept; that of ends that knew nothing of each
-// other is any, but one.
-template <typename End>
-std::pair<uint64_t, CrashId> RankOf(const End& end) {
-  return {end.lamport_time, end.crash};
+// The order in which crashes are kept. Crashes with equal Lamport times are
+// ordered by their identity, so that the order is the same on all nodes.
+template <typename Crash>
+std::pair<uint64_t, CrashId> SortKey(const Crash& crash) {
+  return {crash.lamport_time, crash.crash};
 }
 
-template <typename End>
-void InsertByRank(std::vector<End>& ends, const End& end) {
+template <typename Crash>
+void InsertSorted(std::vector<Crash>& crashes, const Crash& crash) {
   const auto place =
-      std::ranges::upper_bound(ends, RankOf(end), {}, RankOf<End>);
-  ends.insert(place, end);
+      std::ranges::upper_bound(crashes, SortKey(crash), {}, SortKey<Crash>);
+  crashes.insert(place, crash);
 }
 
-// Another one than that of the mark.
+// Differs from the digest of the observation of the same crash.
 uint64_t RefutedDigest(RequestFingerprint fingerprint, const CrashId& crash) {
   return ~CrashDigest(fingerprint, crash);
 }
@@ -42,50 +42,50 @@
 std::vector<RequestEvidence> CrashLedger::AddCrash(const ServerCrash& crash,
                                                    Instant now) {
   OnChanged();
-  NoteEnd(crash.crash, now);
-  ++latest_order_;
+  AddRecentCrash(crash.crash, now);
+  ++lamport_clock_;
   const auto suspects =
       std::ranges::count_if(crash.running, &RunningRequest::is_suspect);
-  std::vector<RequestEvidence> told;
+  std::vector<RequestEvidence> changed;
   for (const RunningRequest& request : crash.running) {
-    Row& row = RowOf(request.fingerprint);
-    const CrashObservation mark{
+    Row& row = FindOrAddRow(request.fingerprint);
+    const CrashObservation observation{
         .crash = crash.crash,
-        .lamport_time = latest_order_,
+        .lamport_time = lamport_clock_,
         .run_time = request.run_time,
-        .other_crashes = OtherEnds(row, crash.crash, now),
+        .other_crashes = CountOtherCrashes(row, crash.crash, now),
         .is_sole_suspect = request.is_suspect && suspects == 1,
         .at = now};
-    if (!AddMark(row, mark))
+    if (!AddObservation(row, observation))
       continue;
     row.changed_at = now;
-    told.push_back(ToEvidence(request.fingerprint, row));
+    changed.push_back(ToEvidence(request.fingerprint, row));
   }
-  return told;
+  return changed;
 }
 
-bool CrashLedger::Merge(const RequestEvidence& heard, Instant now) {
-  if (heard.fingerprint.value == 0 ||
-      (heard.crashes.empty() && heard.refuted.empty())) {
+bool CrashLedger::Merge(const RequestEvidence& received, Instant now) {
+  if (received.fingerprint.value == 0 ||
+      (received.crashes.empty() && received.refuted.empty())) {
     return false;
   }
-  Row& row = RowOf(heard.fingerprint);
+  Row& row = FindOrAddRow(received.fingerprint);
   bool is_new = false;
-  for (const RefutedCrash& end : heard.refuted) {
-    latest_order_ = std::max(latest_order_, end.lamport_time);
-    is_new |= AddRefuted(row, end);
+  for (const RefutedCrash& refuted : received.refuted) {
+    lamport_clock_ = std::max(lamport_clock_, refuted.lamport_time);
+    is_new |= AddRefuted(row, refuted);
   }
-  for (const CrashObservation& mark : heard.crashes) {
-    latest_order_ = std::max(latest_order_, mark.lamport_time);
-    const bool is_remembered = mark.at + kRetention > now;
-    is_new |= is_remembered && AddMark(row, mark);
+  for (const CrashObservation& observation : received.crashes) {
+    lamport_clock_ = std::max(lamport_clock_, observation.lamport_time);
+    const bool is_remembered = observation.at + kRetention > now;
+    is_new |= is_remembered && AddObservation(row, observation);
   }
   if (is_new) {
     row.changed_at = now;
     OnChanged();
   }
   if (row.crashes.empty() && row.refuted.empty())
-    rows_.erase(heard.fingerprint);
+    rows_.erase(received.fingerprint);
   return is_new;
 }
 
@@ -98,8 +98,8 @@
   OnChanged();
   Row& row = found->second;
   const std::vector<CrashObservation> crashes = row.crashes;
-  for (const CrashObservation& mark : crashes)
-    AddRefuted(row, {mark.crash, mark.lamport_time});
+  for (const CrashObservation& observation : crashes)
+    AddRefuted(row, {observation.crash, observation.lamport_time});
   row.changed_at = now;
   return ToEvidence(fingerprint, row);
 }
@@ -108,15 +108,16 @@
   OnChanged();
   absl::erase_if(rows_, [now](auto& item) {
     Row& row = item.second;
-    std::erase_if(row.crashes, [now](const CrashObservation& mark) {
-      return mark.at + kRetention <= now;
+    std::erase_if(row.crashes, [now](const CrashObservation& observation) {
+      return observation.at + kRetention <= now;
     });
     if (row.changed_at + kRetention <= now)
       row.refuted.clear();
     return row.crashes.empty() && row.refuted.empty();
   });
-  while (!ends_.empty() && ends_.front().at + kCrashRateWindow <= now)
-    ends_.pop_front();
+  while (!recent_crashes_.empty() &&
+         recent_crashes_.front().at + kCrashRateWindow <= now)
+    recent_crashes_.pop_front();
 }
 
 VerdictUntil CrashLedger::VerdictOf(RequestFingerprint fingerprint,
@@ -144,16 +145,17 @@
 }
 
 std::vector<RequestEvidence> CrashLedger::SharedEvidence() const {
-  std::vector<RequestEvidence> told;
+  std::vector<RequestEvidence> shared;
   for (const auto& [fingerprint, row] : rows_) {
-    if (IsTold(row))
-      told.push_back(ToEvidence(fingerprint, row));
+    if (IsShared(row))
+      shared.push_back(ToEvidence(fingerprint, row));
   }
-  std::ranges::sort(told, std::greater(), [](const RequestEvidence& evidence) {
-    return std::pair(evidence.crashes.size(), evidence.fingerprint);
-  });
-  told.resize(std::min(told.size(), kMaxSharedRequests));
-  return told;
+  std::ranges::sort(
+      shared, std::greater(), [](const RequestEvidence& evidence) {
+        return std::pair(evidence.crashes.size(), evidence.fingerprint);
+      });
+  shared.resize(std::min(shared.size(), kMaxSharedRequests));
+  return shared;
 }
 
 uint64_t CrashLedger::digest() const {
@@ -161,18 +163,18 @@
     return *digest_;
   uint64_t digest = 0;
   for (const auto& [fingerprint, row] : rows_) {
-    if (!IsTold(row))
+    if (!IsShared(row))
       continue;
-    for (const CrashObservation& mark : row.crashes)
-      digest ^= CrashDigest(fingerprint, mark.crash);
-    for (const RefutedCrash& end : row.refuted)
-      digest ^= RefutedDigest(fingerprint, end.crash);
+    for (const CrashObservation& observation : row.crashes)
+      digest ^= CrashDigest(fingerprint, observation.crash);
+    for (const RefutedCrash& refuted : row.refuted)
+      digest ^= RefutedDigest(fingerprint, refuted.crash);
   }
   digest_ = digest;
   return digest;
 }
 
-bool CrashLedger::IsTold(const Row& row) {
+bool CrashLedger::IsShared(const Row& row) {
   return row.crashes.size() >= kSuspicionThreshold || !row.refuted.empty();
 }
 
@@ -181,29 +183,29 @@
     return {};
   const Instant last =
       std::ranges::max(row.crashes, {}, &CrashObservation::at).at;
-  const base::Duration hold = HoldOf(row);
-  if (now < last + hold)
-    return {Verdict::kQuarantined, last + hold};
+  const base::Duration period = QuarantinePeriod(row);
+  if (now < last + period)
+    return {Verdict::kQuarantined, last + period};
   return {Verdict::kSuspected, last + kRetention};
 }
 
-base::Duration CrashLedger::HoldOf(const Row& row) {
-  if (!IsProved(row))
+base::Duration CrashLedger::QuarantinePeriod(const Row& row) {
+  if (!MeetsQuarantineCriteria(row))
     return {};
   return row.crashes.size() == kQuarantineThreshold ? kFirstQuarantinePeriod
                                                     : kQuarantinePeriod;
 }
 
-bool CrashLedger::IsProved(const Row& row) {
+bool CrashLedger::MeetsQuarantineCriteria(const Row& row) {
   const bool was_alone =
       std::ranges::any_of(row.crashes, &CrashObservation::is_sole_suspect);
   if (row.crashes.size() < kQuarantineThreshold || !was_alone)
     return false;
-  const base::Duration runs =
+  const base::Duration run_time =
       std::ranges::max(row.crashes, {}, &CrashObservation::run_time).run_time;
   int surprise = 0;
-  for (const CrashObservation& mark : row.crashes)
-    surprise += Surprisal(runs, mark.other_crashes);
+  for (const CrashObservation& observation : row.crashes)
+    surprise += Surprisal(run_time, observation.other_crashes);
   const auto further =
       static_cast<int>(row.crashes.size() - kQuarantineThreshold);
   return surprise >= kQuarantineSurprisal + kSurprisalPerExtraCrash * further;
@@ -214,48 +216,51 @@
   return {fingerprint, row.crashes, row.refuted};
 }
 
-bool CrashLedger::AddMark(Row& row, const CrashObservation& mark) {
-  if (Holds(row.refuted, mark.crash) || Holds(row.crashes, mark.crash))
+bool CrashLedger::AddObservation(Row& row,
+                                 const CrashObservation& observation) {
+  if (Holds(row.refuted, observation.crash) ||
+      Holds(row.crashes, observation.crash))
     return false;
-  InsertByRank(row.crashes, mark);
-  return KeepLatest(row, mark.crash);
+  InsertSorted(row.crashes, observation);
+  return KeepLatest(row, observation.crash);
 }
 
-bool CrashLedger::AddRefuted(Row& row, const RefutedCrash& end) {
-  if (Holds(row.refuted, end.crash))
+bool CrashLedger::AddRefuted(Row& row, const RefutedCrash& refuted) {
+  if (Holds(row.refuted, refuted.crash))
     return false;
-  std::erase_if(row.crashes, [&end](const CrashObservation& mark) {
-    return mark.crash == end.crash;
+  std::erase_if(row.crashes, [&refuted](const CrashObservation& observation) {
+    return observation.crash == refuted.crash;
   });
-  InsertByRank(row.refuted, end);
-  return KeepLatest(row, end.crash);
+  InsertSorted(row.refuted, refuted);
+  return KeepLatest(row, refuted.crash);
 }
 
 bool CrashLedger::KeepLatest(Row& row, const CrashId& added) {
   if (row.crashes.size() + row.refuted.size() <= kMaxCrashesPerRequest)
     return true;
-  const bool is_mark = row.refuted.empty() || (!row.crashes.empty() &&
-                                               RankOf(row.crashes.front()) <
-                                                   RankOf(row.refuted.front()));
+  const bool is_observation =
+      row.refuted.empty() ||
+      (!row.crashes.empty() &&
+       SortKey(row.crashes.front()) < SortKey(row.refuted.front()));
   const CrashId dropped =
-      is_mark ? row.crashes.front().crash : row.refuted.front().crash;
-  if (is_mark)
+      is_observation ? row.crashes.front().crash : row.refuted.front().crash;
+  if (is_observation)
     row.crashes.erase(row.crashes.begin());
   else
     row.refuted.erase(row.refuted.begin());
   return dropped != added;
 }
 
-CrashLedger::Row& CrashLedger::RowOf(RequestFingerprint fingerprint) {
+CrashLedger::Row& CrashLedger::FindOrAddRow(RequestFingerprint fingerprint) {
   const auto found = rows_.find(fingerprint);
   if (found != rows_.end())
     return found->second;
   if (rows_.size() >= kMaxRequests)
-    MakeRoom();
+    EvictRow();
   return rows_[fingerprint];
 }
 
-void CrashLedger::MakeRoom() {
+void CrashLedger::EvictRow() {
   OnChanged();
   const auto least = std::ranges::min_element(rows_, {}, [](const auto& item) {
     return std::pair(item.second.crashes.size(), item.second.changed_at);
@@ -263,19 +268,21 @@
   rows_.erase(least);
 }
 
-void CrashLedger::NoteEnd(const CrashId& crash, Instant at) {
-  ends_.push_back({crash, at});
-  if (ends_.size() > kMaxRecentCrashes)
-    ends_.pop_front();
+void CrashLedger::AddRecentCrash(const CrashId& crash, Instant at) {
+  recent_crashes_.push_back({crash, at});
+  if (recent_crashes_.size() > kMaxRecentCrashes)
+    recent_crashes_.pop_front();
 }
 
-int CrashLedger::OtherEnds(const Row& row,
-                           const CrashId& latest,
-                           Instant now) const {
-  return static_cast<int>(std::ranges::count_if(ends_, [&](const End& end) {
-    return end.crash.node == latest.node && end.crash != latest &&
-           end.at + kCrashRateWindow > now && !Holds(row.crashes, end.crash);
-  }));
+int CrashLedger::CountOtherCrashes(const Row& row,
+                                   const CrashId& latest,
+                                   Instant now) const {
+  return static_cast<int>(
+      std::ranges::count_if(recent_crashes_, [&](const RecentCrash& recent) {
+        return recent.crash.node == latest.node && recent.crash != latest &&
+               recent.at + kCrashRateWindow > now &&
+               !Holds(row.crashes, recent.crash);
+      }));
 }
 
 }  // namespace chestnutport::quarantine
--- a/src/libs/quarantine/crash_ledger.h
+++ b/src/libs/quarantine/crash_ledger.h
@@ -1,10 +1,11 @@
-// What a node knows of the requests that servers ran when they ended, by its
-// own server and by what others tell, and the verdicts that follow. Pure: times
-// are passed in.
+// Collects what a node knows of requests that were running when servers
+// crashed, from its own server and from other nodes, and derives the verdicts.
+// Does no I/O; times are passed in.
 //
-// Each node keeps a ledger, and none is asked for leave. Ledgers that have
-// heard the same, in any order and however often, hold the same and judge the
-// same. docs/design/quarantine.md says how the figures were chosen.
+// Each node has its own ledger and decides alone, without coordination. Ledgers
+// that have received the same evidence, in any order and any number of times,
+// hold the same evidence and reach the same verdicts. docs/design/quarantine.md
+// explains the constants.
 #ifndef QUARANTINE_CRASH_LEDGER_H_
 #define QUARANTINE_CRASH_LEDGER_H_
 
@@ -24,106 +25,115 @@
 
 class CrashLedger {
  public:
-  // Ends with which a request is a suspect, and with which it may be
-  // quarantined. At one end all that ran are alike; those that ran at two are
-  // the guilty one and what was retried beside it. So one of the ends for a
-  // quarantine has to be of a server that ran no other suspect.
+  // Numbers of crashes after which a request is a suspect, and after which it
+  // may be quarantined. After one crash all requests that were running are
+  // equally likely to be the cause; after two, the cause remains together with
+  // requests that were retried beside it. A quarantine therefore also requires
+  // one crash of a server that was running no other suspect.
   static constexpr size_t kSuspicionThreshold = 2;
   static constexpr size_t kQuarantineThreshold = 3;
-  // The sum of the marks' surprise that a verdict takes besides: the chance
-  // that servers ended three times in such a time for other reasons is one in
-  // 250,000. For each further mark it takes more, as what runs for long gets
-  // some from each of many ends by chance.
+  // The total surprisal that a quarantine also requires: the probability that
+  // three crashes in such a time had other causes is then one in 250,000. Each
+  // further crash raises the requirement, since a long-running request collects
+  // some surprisal from many coincidental crashes.
   static constexpr int kQuarantineSurprisal = 54;
   static constexpr int kSurprisalPerExtraCrash = 6;
-  // How long a quarantine holds after the last end; then the request is tried
-  // again, as a suspect. Three ends may come within a third of a second, with
-  // two guilty requests at once: an innocent one that was beside them is
-  // answered when it is tried. A server that ended is back by then, and most
-  // are warm.
+  // How long a quarantine lasts after the last of exactly kQuarantineThreshold
+  // crashes; then the request is tried again as a suspect. Three crashes may
+  // happen within a third of a second when two requests crash servers at once.
+  // An innocent request that ran beside them is answered when it is tried. By
+  // then a crashed server has restarted, and most are warm.
   static constexpr std::chrono::seconds kFirstQuarantinePeriod{5};
-  // The same with one end more. A server that was mended serves the request by
-  // then; one that was not ends once in this time.
+  // How long a quarantine lasts after further crashes. By then a repaired
+  // server can answer the request; an unrepaired one crashes at most once in
+  // this time.
   static constexpr std::chrono::minutes kQuarantinePeriod{10};
-  // For how long ends are remembered, and what was refuted.
+  // How long crashes and refutations are kept.
   static constexpr std::chrono::minutes kRetention{20};
 
-  // Bounds of memory: about 1 MB. What has fewest marks, and is oldest, goes
-  // first.
+  // Memory limits, about 1 MB in all. Requests with the fewest crashes are
+  // evicted first, the oldest first among those.
   static constexpr size_t kMaxRequests = 4096;
-  // Ends of a request, refuted or not: the latest by their order, which is the
-  // same on all nodes, so that these hold the same ones. By the times at which
-  // nodes heard of them they would tell each other of ever different ones.
+  // Crashes kept of one request, refuted or not. The latest by Lamport time are
+  // kept, as that order is the same on all nodes and so they keep the same
+  // ones. By the time of reception, nodes would keep different ones and
+  // exchange them for ever.
   static constexpr size_t kMaxCrashesPerRequest = 8;
   static constexpr size_t kMaxRecentCrashes = 1024;
-  // Requests in one answer to a node that asks: about 40 kB.
+  // Requests in one reply to a node that asks for all evidence: about 40 kB.
   static constexpr size_t kMaxSharedRequests = 512;
 
-  // This node's server ended. Returns what is known now of each request that it
-  // ran.
+  // Records a crash of this node's server. Returns the evidence now held on
+  // each request that the crash was added to.
   std::vector<RequestEvidence> AddCrash(const ServerCrash& crash,
                                         base::Instant now);
-  // What another node knows. Returns whether anything of it was new.
-  bool Merge(const RequestEvidence& heard, base::Instant now);
-  // What is known against the request counts no more: a server answered it, or
-  // an operator says so. Returns what is to be told; nothing if nothing was
-  // known.
+  // Adds evidence from another node. Returns whether any of it was new.
+  bool Merge(const RequestEvidence& received, base::Instant now);
+  // Marks all crashes known of the request as refuted, because a server
+  // answered it or an operator released it. Returns the evidence to be
+  // announced, or nothing if no crash was known.
   std::optional<RequestEvidence> Refute(base::RequestFingerprint fingerprint,
                                         base::Instant now);
-  // Forgets what is too old.
+  // Removes evidence older than kRetention.
   void Expire(base::Instant now);
 
   VerdictUntil VerdictOf(base::RequestFingerprint fingerprint,
                          base::Instant now) const;
-  // Of all requests that are not free.
+  // Returns the verdicts on all requests that are not free.
   Verdicts AllVerdicts(base::Instant now) const;
 
-  // Nothing if nothing is known.
+  // Returns nothing if the ledger has no evidence on the request.
   std::optional<RequestEvidence> Find(
       base::RequestFingerprint fingerprint) const;
-  // What a node that knows nothing has to be told: all that two ends or more
-  // speak against, and all that was refuted. Of more than kMaxSharedRequests
-  // those with the most marks.
+  // Returns the evidence that all nodes are to have: on requests with two
+  // crashes or more, and on those with refuted crashes. Limited to the
+  // kMaxSharedRequests requests with the most crashes.
   std::vector<RequestEvidence> SharedEvidence() const;
-  // Equal in ledgers of which `SharedEvidence` is the same but for times.
+  // A digest of the identities of all shared crashes, refuted or not, whatever
+  // their times.
   uint64_t digest() const;
   size_t size() const { return rows_.size(); }
 
  private:
   struct Row {
-    // Both by their order, the latest last.
+    // Both are sorted by Lamport time, the latest last.
     std::vector<CrashObservation> crashes;
     std::vector<RefutedCrash> refuted;
     base::Instant changed_at;
   };
-  struct End {
+  struct RecentCrash {
     CrashId crash;
     base::Instant at;
   };
 
-  static bool IsTold(const Row& row);
-  static bool IsProved(const Row& row);
-  // Zero: it is not held.
-  static base::Duration HoldOf(const Row& row);
+  static bool IsShared(const Row& row);
+  static bool MeetsQuarantineCriteria(const Row& row);
+  // Returns how long the quarantine lasts after the last crash; zero if the
+  // request is not quarantined.
+  static base::Duration QuarantinePeriod(const Row& row);
   static VerdictUntil Evaluate(const Row& row, base::Instant now);
   static RequestEvidence ToEvidence(base::RequestFingerprint fingerprint,
                                     const Row& row);
-  static bool AddMark(Row& row, const CrashObservation& mark);
-  static bool AddRefuted(Row& row, const RefutedCrash& end);
-  // Drops the earliest end if there are too many; whether `added` stays.
+  static bool AddObservation(Row& row, const CrashObservation& observation);
+  static bool AddRefuted(Row& row, const RefutedCrash& refuted);
+  // Drops the earliest crash if there are too many. Returns whether `added` was
+  // kept.
   static bool KeepLatest(Row& row, const CrashId& added);
-  Row& RowOf(base::RequestFingerprint fingerprint);
-  void MakeRoom();
-  void NoteEnd(const CrashId& crash, base::Instant at);
-  // Ends lately of the same server as `latest`, but for those among the marks.
-  int OtherEnds(const Row& row, const CrashId& latest, base::Instant now) const;
-  // After each change of what is told.
+  Row& FindOrAddRow(base::RequestFingerprint fingerprint);
+  void EvictRow();
+  void AddRecentCrash(const CrashId& crash, base::Instant at);
+  // Counts recent crashes of the server that crashed in `latest`, without this
+  // one and those in `row`.
+  int CountOtherCrashes(const Row& row,
+                        const CrashId& latest,
+                        base::Instant now) const;
+  // Must be called after each change of the shared evidence.
   void OnChanged() { digest_.reset(); }
 
   absl::flat_hash_map<base::RequestFingerprint, Row> rows_;
-  mutable std::optional<uint64_t> digest_;  // Nothing: to be worked out anew.
-  std::deque<End> ends_;                    // The newest last.
-  uint64_t latest_order_ = 0;               // Of all ends heard of.
+  mutable std::optional<uint64_t> digest_;  // Nothing while outdated.
+  std::deque<RecentCrash> recent_crashes_;  // Newest last.
+  uint64_t lamport_clock_ = 0;  // Greatest Lamport time of all known crashes.
 };
 
 }  // namespace chestnutport::quarantine
--- a/src/libs/quarantine/crash_observation.h
+++ b/src/libs/quarantine/crash_observation.h
@@ -1,4 +1,4 @@
-// A server ended while it ran a certain request.
+// One crash of a server that was running a given request.
 #ifndef QUARANTINE_CRASH_OBSERVATION_H_
 #define QUARANTINE_CRASH_OBSERVATION_H_
 
@@ -11,15 +11,18 @@
 
 struct CrashObservation {
   CrashId crash;
-  // Later ends have greater ones on all nodes: one more than any that the node
-  // beside the server knew of.
+  // Lamport timestamp: one more than the greatest that the node beside the
+  // server had seen, so that later crashes have greater values on all nodes.
   uint64_t lamport_time = 0;
-  base::Duration run_time{};  // Until the server ended.
-  // Ends of the same server lately at which the request did not run.
+  // How long the request had run when the server crashed; shown to operators as
+  // `ran`.
+  base::Duration run_time{};
+  // Recent crashes of the same server at which the request was not running.
   int other_crashes = 0;
-  // It was the only suspect that the server ran.
+  // Whether the request was the only suspect running on the server; shown to
+  // operators as `alone`.
   bool is_sole_suspect = false;
-  base::Instant at;  // By the clock of the node that holds the mark.
+  base::Instant at;  // By the clock of the node that holds the observation.
 };
 
 }  // namespace chestnutport::quarantine
--- a/src/libs/quarantine/evidence_codec.cc
+++ b/src/libs/quarantine/evidence_codec.cc
@@ -16,21 +16,23 @@
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
 constexpr uint32_t kFields = 3;
-constexpr uint32_t kMarkFields = 7;
+constexpr uint32_t kObservationFields = 7;
 constexpr uint32_t kRefutedFields = 3;
-// Of a message from another node: more marks than any node sends, and times far
-// from overflow.
-constexpr uint32_t kMostRead = 64;
+// Limits on received messages: more observations than any node sends, and times
+// far below overflow.
+constexpr uint32_t kMaxArraySize = 64;
 constexpr size_t kMaxRequests = 1024;
 constexpr size_t kDepth = 8;
-constexpr milliseconds kLongest = std::chrono::hours(24);
-constexpr int kMostOtherEnds = 1000;
-
-// Bytes at most: of a request without its ends, of a mark, of a refuted end.
-constexpr size_t kHead = 1 + 9 + 3 + 3;
-constexpr size_t kMark = 1 + 9 + 5 + 9 + 5 + 3 + 1 + 5;
-constexpr size_t kRefuted = 1 + 9 + 5 + 9;
-static_assert(kHead + CrashLedger::kMaxCrashesPerRequest * kMark <=
+constexpr milliseconds kMaxDuration = std::chrono::hours(24);
+constexpr int kMaxOtherCrashes = 1000;
+
+// Upper bounds in bytes of a request without its crashes, of an observation and
+// of a refuted crash.
+constexpr size_t kRequestSize = 1 + 9 + 3 + 3;
+constexpr size_t kObservationSize = 1 + 9 + 5 + 9 + 5 + 3 + 1 + 5;
+constexpr size_t kRefutedSize = 1 + 9 + 5 + 9;
+static_assert(kRequestSize +
+                  CrashLedger::kMaxCrashesPerRequest * kObservationSize <=
               kMaxEncodedSize);
 
 void PackCrash(Packer& packer, const CrashId& crash) {
@@ -43,31 +45,34 @@
   return std::max<int64_t>(whole.count(), 0);
 }
 
-void PackMark(Packer& packer, const CrashObservation& mark, Instant now) {
-  packer.pack_array(kMarkFields);
-  PackCrash(packer, mark.crash);
-  packer.pack(mark.lamport_time);
-  packer.pack(InMilliseconds(mark.run_time));
-  packer.pack(mark.other_crashes);
-  packer.pack(mark.is_sole_suspect);
-  packer.pack(InMilliseconds(now - mark.at));
+void PackObservation(Packer& packer,
+                     const CrashObservation& observation,
+                     Instant now) {
+  packer.pack_array(kObservationFields);
+  PackCrash(packer, observation.crash);
+  packer.pack(observation.lamport_time);
+  packer.pack(InMilliseconds(observation.run_time));
+  packer.pack(observation.other_crashes);
+  packer.pack(observation.is_sole_suspect);
+  packer.pack(InMilliseconds(now - observation.at));
 }
 
 void Pack(Packer& packer, const RequestEvidence& evidence, Instant now) {
   packer.pack_array(kFields);
   packer.pack(evidence.fingerprint.value);
   packer.pack_array(static_cast<uint32_t>(evidence.crashes.size()));
-  for (const CrashObservation& mark : evidence.crashes)
-    PackMark(packer, mark, now);
+  for (const CrashObservation& observation : evidence.crashes)
+    PackObservation(packer, observation, now);
   packer.pack_array(static_cast<uint32_t>(evidence.refuted.size()));
-  for (const RefutedCrash& end : evidence.refuted) {
+  for (const RefutedCrash& refuted : evidence.refuted) {
     packer.pack_array(kRefutedFields);
-    PackCrash(packer, end.crash);
-    packer.pack(end.lamport_time);
+    PackCrash(packer, refuted.crash);
+    packer.pack(refuted.lamport_time);
   }
 }
 
-// The elements of an array of `least` to `most`; throws msgpack::type_error.
+// Returns the elements of an array that has between `least` and `most`; throws
+// msgpack::type_error otherwise.
 std::span<const msgpack::object> ReadArray(const msgpack::object& object,
                                            uint32_t least,
                                            uint32_t most) {
@@ -84,40 +89,41 @@
 
 base::Duration ReadMilliseconds(const msgpack::object& object) {
   return milliseconds(
-      std::clamp<int64_t>(object.as<int64_t>(), 0, kLongest.count()));
+      std::clamp<int64_t>(object.as<int64_t>(), 0, kMaxDuration.count()));
 }
 
-CrashObservation ReadMark(const msgpack::object& object, Instant now) {
-  const auto fields = ReadArray(object, kMarkFields, kMostRead);
+CrashObservation ReadObservation(const msgpack::object& object, Instant now) {
+  const auto fields = ReadArray(object, kObservationFields, kMaxArraySize);
   return {.crash = ReadCrash(fields),
           .lamport_time = fields[2].as<uint64_t>(),
           .run_time = ReadMilliseconds(fields[3]),
-          .other_crashes = std::clamp(fields[4].as<int>(), 0, kMostOtherEnds),
+          .other_crashes = std::clamp(fields[4].as<int>(), 0, kMaxOtherCrashes),
           .is_sole_suspect = fields[5].as<bool>(),
           .at = now - ReadMilliseconds(fields[6])};
 }
 
 RefutedCrash ReadRefuted(const msgpack::object& object) {
-  const auto fields = ReadArray(object, kRefutedFields, kMostRead);
+  const auto fields = ReadArray(object, kRefutedFields, kMaxArraySize);
   return {.crash = ReadCrash(fields), .lamport_time = fields[2].as<uint64_t>()};
 }
 
 RequestEvidence Read(const msgpack::object& object, Instant now) {
-  const auto fields = ReadArray(object, kFields, kMostRead);
+  const auto fields = ReadArray(object, kFields, kMaxArraySize);
   RequestEvidence evidence;
   evidence.fingerprint.value = fields[0].as<uint64_t>();
-  for (const msgpack::object& mark : ReadArray(fields[1], 0, kMostRead))
-    evidence.crashes.push_back(ReadMark(mark, now));
-  for (const msgpack::object& end : ReadArray(fields[2], 0, kMostRead))
-    evidence.refuted.push_back(ReadRefuted(end));
+  for (const msgpack::object& observation :
+       ReadArray(fields[1], 0, kMaxArraySize))
+    evidence.crashes.push_back(ReadObservation(observation, now));
+  for (const msgpack::object& refuted : ReadArray(fields[2], 0, kMaxArraySize))
+    evidence.refuted.push_back(ReadRefuted(refuted));
   return evidence;
 }
 
 }  // namespace
 
 size_t EncodedSize(const RequestEvidence& evidence) {
-  return kHead + kMark * evidence.crashes.size() +
-         kRefuted * evidence.refuted.size();
+  return kRequestSize + kObservationSize * evidence.crashes.size() +
+         kRefutedSize * evidence.refuted.size();
 }
 
 std::string EncodeEvidence(std::span<const RequestEvidence> all, Instant now) {
@@ -146,7 +152,7 @@
       all.push_back(Read(object, now));
     }
   } catch (const std::exception&) {
-    return std::nullopt;  // Whoever got it says so.
+    return std::nullopt;  // Counted or logged by the caller.
   }
   return all;
 }
--- a/src/libs/quarantine/evidence_codec.h
+++ b/src/libs/quarantine/evidence_codec.h
@@ -1,5 +1,5 @@
-// The MessagePack form of evidence, between nodes and in the store: an array
-// for each request, to which newer versions may append.
+// Encodes evidence as MessagePack, for messages between nodes and for the
+// store: one array for each request, to which newer versions may append fields.
 #ifndef QUARANTINE_EVIDENCE_CODEC_H_
 #define QUARANTINE_EVIDENCE_CODEC_H_
 
@@ -14,17 +14,17 @@
 
 namespace chestnutport::quarantine {
 
-// The bytes of what a ledger keeps of one request, at most.
+// Upper bound in bytes of the evidence that a ledger keeps of one request.
 inline constexpr size_t kMaxEncodedSize = 320;
 
-// The bytes that `evidence` adds to a message, at most.
+// Returns an upper bound in bytes of what `evidence` adds to a message.
 size_t EncodedSize(const RequestEvidence& evidence);
 
-// Times travel as ages at `now`, as each node has a clock of its own. Empty for
-// no evidence.
+// Returns an empty string if `all` is empty. Times are encoded as ages relative
+// to `now`, since the clocks of nodes differ.
 std::string EncodeEvidence(std::span<const RequestEvidence> all,
                            base::Instant now);
-// Nothing if any of it cannot be read.
+// Returns nothing if any part is malformed.
 std::optional<std::vector<RequestEvidence>> DecodeEvidence(
     std::string_view bytes,
     base::Instant now);
--- a/src/libs/quarantine/quarantine_filter.cc
+++ b/src/libs/quarantine/quarantine_filter.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Suspects before others, and the youngest of both first.
+// Orders suspects before others, and the shortest run times first among both.
 bool IsBefore(const RunningRequest& a, const RunningRequest& b) {
   return std::pair(!a.is_suspect, a.run_time) <
          std::pair(!b.is_suspect, b.run_time);
@@ -88,18 +88,18 @@
   for (RunningRequest& request : sorted)
     request.is_suspect = IsSuspect({request.fingerprint, request.is_suspect});
   std::ranges::sort(sorted, IsBefore);
-  ServerCrash blamed{crash, {}};
+  ServerCrash attributed{crash, {}};
   for (const RunningRequest& request : sorted) {
-    const bool may_be_guilty =
+    const bool may_be_cause =
         request.fingerprint.value != 0 &&
         !answered_.Contains(request.fingerprint, crash.life, now);
-    // Two runs of one request are one.
-    const bool is_new = !Holds(blamed.running, request.fingerprint);
-    if (may_be_guilty && is_new &&
-        blamed.running.size() < kMaxAttributedRequests)
-      blamed.running.push_back(request);
+    // Concurrent runs of the same request count once.
+    const bool is_new = !Holds(attributed.running, request.fingerprint);
+    if (may_be_cause && is_new &&
+        attributed.running.size() < kMaxAttributedRequests)
+      attributed.running.push_back(request);
   }
-  return blamed;
+  return attributed;
 }
 
 }  // namespace chestnutport::quarantine
--- a/src/libs/quarantine/quarantine_filter.h
+++ b/src/libs/quarantine/quarantine_filter.h
@@ -1,5 +1,6 @@
-// Decides at a gate, by the verdicts that its node holds, which requests its
-// server may run, and which are to answer for an end of it. Pure.
+// Decides by the verdicts of its node which requests a server may run, and
+// which of its running requests may have caused a crash. Does no I/O; times are
+// passed in.
 #ifndef QUARANTINE_QUARANTINE_FILTER_H_
 #define QUARANTINE_QUARANTINE_FILTER_H_
 
@@ -22,48 +23,48 @@
 
 using SharedVerdicts = std::shared_ptr<const Verdicts>;
 
-// Why a request is not run, and when its caller may come back.
+// Why a request is rejected, and after which time its caller may retry.
 struct QuarantineRejection {
   base::ErrorKind error = base::ErrorKind::kRequestQuarantined;
   base::Duration retry_after{};
 };
 
-// A request as it comes to a gate.
+// A request about to be sent to the server.
 struct IncomingRequest {
   base::RequestFingerprint fingerprint;
-  // Servers ended with it twice, by the word of the node that sent it: that
-  // node may know before the verdict has come here.
+  // Whether the sending node knows of two crashes with the request. That node
+  // may know them before the verdict has reached this one.
   bool is_suspect = false;
 };
 
 class QuarantineFilter {
  public:
-  // Of the requests that ran at an end, the youngest so many answer for it;
-  // with the suspects among them, whatever their age.
+  // Limit on the requests held responsible for one crash: suspects first,
+  // whatever their run time, then the most recently started.
   static constexpr size_t kMaxAttributedRequests = 64;
 
-  // Returns those of them that `life`, the present one of the server, answered
-  // lately: that speaks for them.
+  // Returns the requests with a verdict that the server recently answered in
+  // its current life `life`, which is evidence in their favour.
   std::vector<base::RequestFingerprint> SetVerdicts(SharedVerdicts verdicts,
                                                     uint64_t life,
                                                     base::Instant now);
 
-  // Nothing if the server may run the request now.
+  // Returns nothing if the server may run the request now.
   std::optional<QuarantineRejection> Judge(const IncomingRequest& request,
                                            base::Instant now) const;
-  // The server got the request.
+  // Called when the request has been sent to the server.
   void OnStarted(const base::AttemptId& attempt,
                  const IncomingRequest& request);
-  // It runs there no more. `life` of the server answered it; nothing: it was
-  // not answered. Returns whether the answer speaks for a request that is not
-  // free.
+  // Called when the attempt is over. `life` is the life of the server that
+  // answered it, or nothing if it was not answered. Returns whether the answer
+  // is evidence in favour of a request that is not free.
   bool OnEnded(const base::AttemptId& attempt,
                base::RequestFingerprint fingerprint,
                std::optional<uint64_t> life,
                base::Instant now);
 
-  // Who is to answer for the end of a server: all that this life of it did not
-  // answer before.
+  // Returns the requests that may have caused the crash: those of `running`
+  // that the server had not recently answered in the same life.
   ServerCrash AttributeCrash(const CrashId& crash,
                              std::span<const RunningRequest> running,
                              base::Instant now) const;
@@ -74,7 +75,8 @@
 
   SharedVerdicts verdicts_ = std::make_shared<const Verdicts>();
   RecentlyAnsweredRequests answered_;
-  // What the server runs; some may have become suspects since they started.
+  // Attempts running on the server. A request may become a suspect after it has
+  // started.
   absl::flat_hash_map<base::AttemptId, IncomingRequest> running_;
 };
 
--- a/src/libs/quarantine/recently_answered_requests.cc
+++ b/src/libs/quarantine/recently_answered_requests.cc
@@ -10,9 +10,9 @@
 void RecentlyAnsweredRequests::Add(RequestFingerprint fingerprint,
                                    uint64_t life,
                                    Instant now) {
-  if (now >= window_start_ + kWindow || present_.size() >= kMaxPerWindow)
+  if (now >= window_start_ + kWindow || current_.size() >= kMaxPerWindow)
     Rotate(now);
-  present_[fingerprint] = life;
+  current_[fingerprint] = life;
 }
 
 bool RecentlyAnsweredRequests::Contains(RequestFingerprint fingerprint,
@@ -20,17 +20,17 @@
                                         Instant now) const {
   if (now >= window_start_ + 2 * kWindow)
     return false;
-  const auto answered = [&](const Lives& lives) {
+  const auto answered = [&](const LifeByRequest& lives) {
     const auto found = lives.find(fingerprint);
     return found != lives.end() && found->second == life;
   };
-  return answered(present_) || answered(previous_);
+  return answered(current_) || answered(previous_);
 }
 
 void RecentlyAnsweredRequests::Rotate(Instant now) {
-  const bool is_old = now >= window_start_ + 2 * kWindow;
-  previous_ = is_old ? Lives() : std::move(present_);
-  present_.clear();
+  const bool is_outdated = now >= window_start_ + 2 * kWindow;
+  previous_ = is_outdated ? LifeByRequest() : std::move(current_);
+  current_.clear();
   window_start_ = now;
 }
 
--- a/src/libs/quarantine/recently_answered_requests.h
+++ b/src/libs/quarantine/recently_answered_requests.h
@@ -1,4 +1,5 @@
-// Which requests a server answered lately: those do not end it.
+// Remembers which requests a server answered recently. A request that a server
+// process has answered is not held responsible when that process crashes.
 #ifndef QUARANTINE_RECENTLY_ANSWERED_REQUESTS_H_
 #define QUARANTINE_RECENTLY_ANSWERED_REQUESTS_H_
 
@@ -11,31 +12,34 @@
 
 namespace chestnutport::quarantine {
 
-// Guards what many callers ask for all the time: it runs at every end.
+// Protects popular requests from false suspicion: a request that many callers
+// send all the time is running at nearly every crash.
 class RecentlyAnsweredRequests {
  public:
-  // An answer counts for this time to twice as long.
+  // An answer is remembered for this time to twice as long; less if a window
+  // fills up.
   static constexpr std::chrono::seconds kWindow{10};
-  // Kept of each window; about 100 kB in all.
+  // Entries in each of the two windows; about 100 kB in all.
   static constexpr size_t kMaxPerWindow = 2048;
 
-  // `life`: of the server that answered.
+  // Records that the server answered the request in its life `life`.
   void Add(base::RequestFingerprint fingerprint,
            uint64_t life,
            base::Instant now);
-  // Whether this life of the server answered it. Another life may be another
-  // version of the server, which the request ends.
+  // Returns whether the server answered the request in this life. Other lives
+  // do not count: after a restart the server may run another version, which the
+  // request may crash.
   bool Contains(base::RequestFingerprint fingerprint,
                 uint64_t life,
                 base::Instant now) const;
 
  private:
-  using Lives = absl::flat_hash_map<base::RequestFingerprint, uint64_t>;
+  using LifeByRequest = absl::flat_hash_map<base::RequestFingerprint, uint64_t>;
 
   void Rotate(base::Instant now);
 
-  Lives present_;
-  Lives previous_;
+  LifeByRequest current_;
+  LifeByRequest previous_;
   base::Instant window_start_;
 };
 
--- a/src/libs/quarantine/refuted_crash.h
+++ b/src/libs/quarantine/refuted_crash.h
@@ -1,4 +1,4 @@
-// The end of a server that does not count against a request any more.
+// A crash that no longer counts against a request.
 #ifndef QUARANTINE_REFUTED_CRASH_H_
 #define QUARANTINE_REFUTED_CRASH_H_
 
@@ -10,7 +10,7 @@
 
 struct RefutedCrash {
   CrashId crash;
-  uint64_t lamport_time = 0;  // As its mark had it.
+  uint64_t lamport_time = 0;  // As in the observation.
 
   bool operator==(const RefutedCrash&) const = default;
 };
--- a/src/libs/quarantine/request_evidence.cc
+++ b/src/libs/quarantine/request_evidence.cc
@@ -9,8 +9,8 @@
 uint64_t EvidenceDigest(std::span<const RequestEvidence> all) {
   uint64_t digest = 0;
   for (const RequestEvidence& evidence : all) {
-    for (const CrashObservation& mark : evidence.crashes)
-      digest ^= CrashDigest(evidence.fingerprint, mark.crash);
+    for (const CrashObservation& observation : evidence.crashes)
+      digest ^= CrashDigest(evidence.fingerprint, observation.crash);
   }
   return digest;
 }
--- a/src/libs/quarantine/request_evidence.h
+++ b/src/libs/quarantine/request_evidence.h
@@ -1,4 +1,4 @@
-// What is known of a request that servers ran when they ended.
+// The crashes observed while a given request was running.
 #ifndef QUARANTINE_REQUEST_EVIDENCE_H_
 #define QUARANTINE_REQUEST_EVIDENCE_H_
 
@@ -16,12 +16,14 @@
 struct RequestEvidence {
   base::RequestFingerprint fingerprint;
   std::vector<CrashObservation> crashes;
-  // Ends that do not count: a server answered the request since, or an operator
-  // lifted the verdict. They outweigh marks, in whatever order both are heard.
+  // Crashes that no longer count, because a server has answered the request
+  // since or an operator released it. They override observations of the same
+  // crashes, whichever is received first.
   std::vector<RefutedCrash> refuted;
 };
 
-// Equal for evidence with the same marks, in any order and of any age.
+// Depends only on the requests and the identities of their crashes: neither on
+// their order nor on their times.
 uint64_t EvidenceDigest(std::span<const RequestEvidence> all);
 uint64_t CrashDigest(base::RequestFingerprint fingerprint,
                      const CrashId& crash);
--- a/src/libs/quarantine/server_crash.h
+++ b/src/libs/quarantine/server_crash.h
@@ -1,4 +1,4 @@
-// A server ended while it ran requests.
+// A crash of a server and the requests that it was running.
 #ifndef QUARANTINE_SERVER_CRASH_H_
 #define QUARANTINE_SERVER_CRASH_H_
 
@@ -12,14 +12,15 @@
 
 struct RunningRequest {
   base::RequestFingerprint fingerprint;
-  base::Duration run_time{};  // Until the server ended.
-  // Servers ended with it twice before.
+  base::Duration run_time{};  // How long it had run when the server crashed.
+  // Whether two crashes had been observed with it before.
   bool is_suspect = false;
 };
 
 struct ServerCrash {
   CrashId crash;
-  std::vector<RunningRequest> running;  // Those that may have ended it.
+  std::vector<RunningRequest>
+      running;  // The requests that may have caused the crash.
 };
 
 }  // namespace chestnutport::quarantine
--- a/src/libs/quarantine/surprisal.h
+++ b/src/libs/quarantine/surprisal.h
@@ -1,4 +1,5 @@
-// How improbable it is that a server ended by chance while it ran a request.
+// Scores how unlikely it is that a server crashed by coincidence while it was
+// running a request.
 #ifndef QUARANTINE_SURPRISAL_H_
 #define QUARANTINE_SURPRISAL_H_
 
@@ -6,23 +7,25 @@
 
 namespace chestnutport::quarantine {
 
-// Ends of a server within this time tell how often it ends whatever it runs.
+// Crashes of a server within this time give the rate at which it crashes
+// whatever it runs.
 inline constexpr std::chrono::seconds kCrashRateWindow{60};
 
-// One end never counts for more: ten times the logarithm of one in a thousand.
+// Upper bound for one crash: a probability of one in a thousand.
 inline constexpr int kMaxSurprisal = 30;
 
-// Ten times the negative decimal logarithm of the chance that the server ends
-// in a time as long as the request runs: 20 is one in a hundred. `runs`: the
-// longest that it ran at any end, as it would have run so long at each, had the
-// server not ended; `other_crashes`: of the same server in the last
-// `kCrashRateWindow`, at which the request did not run.
+// Returns ten times the negative decimal logarithm of the probability that the
+// server crashes during a run of the request: 20 means one in a hundred. `runs`
+// is the longest run at any of the crashes, since the request would have run
+// that long each time had the server not crashed. `other_crashes` is the number
+// of crashes of the same server in the last `kCrashRateWindow` at which the
+// request was not running.
 //
-// Guards against a verdict on a request that runs for long while servers end
-// for other reasons: it runs at nearly each end. On a server that ended four
-// times in the last minute, a request of 100 ms has 20 from an end, one of 10 s
-// has 2.
-int Surprisal(base::Duration runs, int other_crashes);
+// Prevents a verdict on a long-running request while servers crash for other
+// reasons, since such a request is running at nearly every crash. On a server
+// that crashed four times in the last minute, one crash scores 20 for a request
+// of 100 ms and 2 for one of 10 s.
+int Surprisal(base::Duration run_time, int other_crashes);
 
 }  // namespace chestnutport::quarantine
 
--- a/src/libs/quarantine/verdict.h
+++ b/src/libs/quarantine/verdict.h
@@ -1,4 +1,4 @@
-// What is to be done with a request that servers ran when they ended.
+// Decides how a request is treated that was running when servers crashed.
 #ifndef QUARANTINE_VERDICT_H_
 #define QUARANTINE_VERDICT_H_
 
@@ -11,25 +11,27 @@
 namespace chestnutport::quarantine {
 
 enum class Verdict {
-  kFree,  // Runs like any other.
-  // Two servers ended with it. It goes on, as it may be innocent, but to one
-  // server at a time, beside no other suspect: that shows which of them it is.
+  kFree,  // Runs without restrictions.
+  // Two servers crashed while running it. It may be innocent, so it still runs,
+  // but on one server at a time and beside no other suspect, which shows which
+  // of the suspects causes the crashes.
   kSuspected,
-  kQuarantined,  // Is not run.
+  kQuarantined,  // Is rejected.
 };
 
 std::string_view ToString(Verdict verdict);
 
 struct VerdictUntil {
   Verdict verdict = Verdict::kFree;
-  // Of kQuarantined: when it is tried again; of kSuspected: when it is
-  // forgotten, if no server ends with it.
+  // For kQuarantined, when the request is tried again; for kSuspected, when the
+  // suspicion expires unless another server crashes with it.
   base::Instant until;
 
   bool operator==(const VerdictUntil&) const = default;
 };
 
-// All that are not free. Immutable where it is shared between threads.
+// The verdicts on all requests that are not free. Immutable once shared between
+// threads.
 class Verdicts {
  public:
   using Map = absl::flat_hash_map<base::RequestFingerprint, VerdictUntil>;
--- a/tests/auto/quarantine/crash_ledger_test.cc
+++ b/tests/auto/quarantine/crash_ledger_test.cc
@@ -1,4 +1,4 @@
-// What nodes conclude from the requests that servers ran when they ended.
+// Verdicts that nodes derive from the requests running when servers crashed.
 #include "quarantine/crash_ledger.h"
 
 #include <rapidcheck/catch.h>
@@ -19,10 +19,10 @@
 using std::chrono::seconds;
 
 constexpr Instant kStart{std::chrono::hours(1)};
-constexpr RequestFingerprint kGuilty{1};
-constexpr RequestFingerprint kBeside{2};
+constexpr RequestFingerprint kPoison{1};
+constexpr RequestFingerprint kInnocent{2};
 
-// The server beside `node` ended, in its life `life`.
+// Returns a crash of the server beside `node` in its life `life`.
 ServerCrash Crash(uint64_t node,
                   uint32_t life,
                   const std::vector<RequestFingerprint>& running,
@@ -34,68 +34,68 @@
   return crash;
 }
 
-TEST_CASE("servers end with a request one after the other") {
+TEST_CASE("several servers crash with the same request") {
   CrashLedger ledger;
   const auto verdict = [&](RequestFingerprint fingerprint, Instant now) {
     return ledger.VerdictOf(fingerprint, now).verdict;
   };
-  ledger.AddCrash(Crash(11, 1, {kGuilty, kBeside}), kStart);
+  ledger.AddCrash(Crash(11, 1, {kPoison, kInnocent}), kStart);
 
-  SECTION("at the first end all that ran are alike") {
-    CHECK(verdict(kGuilty, kStart) == Verdict::kFree);
-    CHECK(verdict(kBeside, kStart) == Verdict::kFree);
+  SECTION("after the first crash no request has a verdict") {
+    CHECK(verdict(kPoison, kStart) == Verdict::kFree);
+    CHECK(verdict(kInnocent, kStart) == Verdict::kFree);
     CHECK(ledger.AllVerdicts(kStart).empty());
   }
 
-  ledger.AddCrash(Crash(12, 1, {kGuilty}), kStart + milliseconds(100));
-  SECTION("at the second one is suspected, and goes on") {
-    CHECK(verdict(kGuilty, kStart + seconds(1)) == Verdict::kSuspected);
-    CHECK(verdict(kBeside, kStart + seconds(1)) == Verdict::kFree);
+  ledger.AddCrash(Crash(12, 1, {kPoison}), kStart + milliseconds(100));
+  SECTION("after the second the request is suspected and still runs") {
+    CHECK(verdict(kPoison, kStart + seconds(1)) == Verdict::kSuspected);
+    CHECK(verdict(kInnocent, kStart + seconds(1)) == Verdict::kFree);
   }
 
   const Instant third = kStart + seconds(1);
-  ledger.AddCrash(Crash(13, 1, {kGuilty}), third);
-  SECTION("at the third it is put in quarantine for a moment") {
-    const VerdictUntil passed = ledger.VerdictOf(kGuilty, third);
+  ledger.AddCrash(Crash(13, 1, {kPoison}), third);
+  SECTION("after the third it is quarantined for a short time") {
+    const VerdictUntil passed = ledger.VerdictOf(kPoison, third);
     CHECK(passed.verdict == Verdict::kQuarantined);
     CHECK(passed.until == third + CrashLedger::kFirstQuarantinePeriod);
-    CHECK(verdict(kBeside, third) == Verdict::kFree);
+    CHECK(verdict(kInnocent, third) == Verdict::kFree);
   }
   const Instant tried =
       third + CrashLedger::kFirstQuarantinePeriod + seconds(1);
-  SECTION("and is tried again when that has passed") {
-    CHECK(verdict(kGuilty, tried) == Verdict::kSuspected);
-    SECTION("to be free for good if a server answers it") {
-      CHECK(ledger.Refute(kGuilty, tried));
-      CHECK(verdict(kGuilty, tried) == Verdict::kFree);
+  SECTION("then it is tried again as a suspect") {
+    CHECK(verdict(kPoison, tried) == Verdict::kSuspected);
+    SECTION("and is free if a server answers it") {
+      CHECK(ledger.Refute(kPoison, tried));
+      CHECK(verdict(kPoison, tried) == Verdict::kFree);
     }
-    SECTION("and forgotten if it does not come") {
+    SECTION("and is forgotten if it is not sent again") {
       ledger.Expire(third + CrashLedger::kRetention + seconds(1));
       CHECK(ledger.size() == 0);
     }
   }
-  SECTION("with one end more it stays there") {
-    ledger.AddCrash(Crash(14, 1, {kGuilty}), tried);
-    CHECK(ledger.VerdictOf(kGuilty, tried).until ==
+  SECTION("a fourth crash quarantines it for longer") {
+    ledger.AddCrash(Crash(14, 1, {kPoison}), tried);
+    CHECK(ledger.VerdictOf(kPoison, tried).until ==
           tried + CrashLedger::kQuarantinePeriod);
     const Instant again = tried + CrashLedger::kQuarantinePeriod;
-    CHECK(verdict(kGuilty, again - seconds(1)) == Verdict::kQuarantined);
-    CHECK(verdict(kGuilty, again) == Verdict::kSuspected);
-    SECTION("and, once it is tried again, with each further one") {
-      ledger.AddCrash(Crash(15, 1, {kGuilty}), again);
-      CHECK(verdict(kGuilty, again + minutes(9)) == Verdict::kQuarantined);
+    CHECK(verdict(kPoison, again - seconds(1)) == Verdict::kQuarantined);
+    CHECK(verdict(kPoison, again) == Verdict::kSuspected);
+    SECTION("and each further crash quarantines it again") {
+      ledger.AddCrash(Crash(15, 1, {kPoison}), again);
+      CHECK(verdict(kPoison, again + minutes(9)) == Verdict::kQuarantined);
     }
   }
-  SECTION("one end counts once, however often it is told") {
-    CHECK(ledger.AddCrash(Crash(13, 1, {kGuilty}), third).empty());
-    CHECK(ledger.Find(kGuilty)->crashes.size() == 3);
+  SECTION("a crash that is reported twice counts once") {
+    CHECK(ledger.AddCrash(Crash(13, 1, {kPoison}), third).empty());
+    CHECK(ledger.Find(kPoison)->crashes.size() == 3);
   }
 }
 
-TEST_CASE("a request that runs for long while servers end for other reasons") {
-  // Each of seven servers ends every ten seconds, whatever it runs, for two
-  // minutes. An export of ten seconds runs at each end of its server, is
-  // retried, and runs at the end of the next.
+TEST_CASE("a long-running request while servers crash for other reasons") {
+  // Each of seven servers crashes every ten seconds for two minutes, whatever
+  // it runs. An export of ten seconds is running at each crash of its server,
+  // is retried and is running again when the next server crashes.
   constexpr RequestFingerprint kExport{3};
   CrashLedger ledger;
   uint64_t other = 100;
@@ -111,71 +111,72 @@
   const Instant end = kStart + seconds(140);
   CHECK(ledger.VerdictOf(kExport, end).verdict != Verdict::kQuarantined);
 
-  SECTION("while a short one is known for what it is among as many ends") {
+  SECTION("a short request that crashes servers is still quarantined") {
     const auto begin = end + seconds(1);
     for (uint32_t i = 1; i <= 3; ++i) {
-      ledger.AddCrash(Crash(10 + i, 20, {kGuilty}),
+      ledger.AddCrash(Crash(10 + i, 20, {kPoison}),
                       begin + i * milliseconds(100));
     }
-    CHECK(ledger.VerdictOf(kGuilty, begin + seconds(1)).verdict ==
+    CHECK(ledger.VerdictOf(kPoison, begin + seconds(1)).verdict ==
           Verdict::kQuarantined);
   }
 }
 
-TEST_CASE("what a server answered outweighs what was known against it") {
+TEST_CASE("a refutation overrides the crashes known before") {
   CrashLedger here;
   CrashLedger there;
   for (uint32_t i = 1; i <= 3; ++i) {
-    for (const auto& told : here.AddCrash(Crash(10 + i, 1, {kGuilty}), kStart))
-      there.Merge(told, kStart);
+    for (const auto& evidence :
+         here.AddCrash(Crash(10 + i, 1, {kPoison}), kStart))
+      there.Merge(evidence, kStart);
   }
-  REQUIRE(there.VerdictOf(kGuilty, kStart).verdict == Verdict::kQuarantined);
-  const auto refuted = here.Refute(kGuilty, kStart);
+  REQUIRE(there.VerdictOf(kPoison, kStart).verdict == Verdict::kQuarantined);
+  const auto refuted = here.Refute(kPoison, kStart);
   REQUIRE(refuted);
-  CHECK(here.VerdictOf(kGuilty, kStart).verdict == Verdict::kFree);
+  CHECK(here.VerdictOf(kPoison, kStart).verdict == Verdict::kFree);
   CHECK(there.Merge(*refuted, kStart));
-  CHECK(there.VerdictOf(kGuilty, kStart).verdict == Verdict::kFree);
+  CHECK(there.VerdictOf(kPoison, kStart).verdict == Verdict::kFree);
 
-  SECTION("also where the ends are heard of only later") {
+  SECTION("also on a node that receives the crashes after it") {
     CrashLedger late;
     late.Merge(*refuted, kStart);
-    late.Merge({kGuilty,
+    late.Merge({kPoison,
                 {{.crash = {{11}, 1}, .at = kStart},
                  {.crash = {{12}, 1}, .at = kStart}},
                 {}},
                kStart);
-    CHECK(late.VerdictOf(kGuilty, kStart).verdict == Verdict::kFree);
+    CHECK(late.VerdictOf(kPoison, kStart).verdict == Verdict::kFree);
   }
-  SECTION("but not later ends") {
+  SECTION("but not later crashes") {
     for (uint32_t i = 1; i <= 3; ++i)
-      here.AddCrash(Crash(10 + i, 2, {kGuilty}), kStart + seconds(1));
-    CHECK(here.VerdictOf(kGuilty, kStart + seconds(1)).verdict ==
+      here.AddCrash(Crash(10 + i, 2, {kPoison}), kStart + seconds(1));
+    CHECK(here.VerdictOf(kPoison, kStart + seconds(1)).verdict ==
           Verdict::kQuarantined);
   }
 }
 
-TEST_CASE("memory is bounded") {
+TEST_CASE("the number of requests is bounded") {
   CrashLedger ledger;
   for (uint32_t i = 1; i <= 4; ++i)
-    ledger.AddCrash(Crash(10 + i, 1, {kGuilty}), kStart);
+    ledger.AddCrash(Crash(10 + i, 1, {kPoison}), kStart);
   for (uint64_t i = 0; i < 3 * CrashLedger::kMaxRequests; ++i) {
     ledger.AddCrash(Crash(11, static_cast<uint32_t>(100 + i), {{1000 + i}}),
                     kStart + milliseconds(i));
   }
   CHECK(ledger.size() <= CrashLedger::kMaxRequests);
-  CHECK(ledger.VerdictOf(kGuilty, kStart + seconds(15)).verdict ==
+  CHECK(ledger.VerdictOf(kPoison, kStart + seconds(15)).verdict ==
         Verdict::kQuarantined);
 }
 
-TEST_CASE("ledgers that have heard the same judge the same") {
-  rc::prop("in whatever order, and however often", [] {
-    std::vector<RequestEvidence> heard;
+TEST_CASE("ledgers with the same evidence reach the same verdicts") {
+  rc::prop("in any order and with duplicates", [] {
+    std::vector<RequestEvidence> received;
     const auto count = *rc::gen::inRange(1, 60);
     for (int i = 0; i < count; ++i) {
       RequestEvidence one{{*rc::gen::inRange<uint64_t>(1, 4)}, {}, {}};
       const CrashId crash{{*rc::gen::inRange<uint64_t>(1, 12)},
                           *rc::gen::inRange<uint32_t>(1, 3)};
-      // Some ends knew nothing of each other.
+      // Some crashes have the same Lamport time.
       const uint64_t lamport_time = crash.node.value / 2 + 10 * crash.life;
       const auto age = milliseconds(crash.node.value * 10 + crash.life);
       if (*rc::gen::inRange(0, 4) == 0)
@@ -185,12 +186,12 @@
                                .lamport_time = lamport_time,
                                .is_sole_suspect = true,
                                .at = kStart - age});
-      heard.push_back(one);
+      received.push_back(one);
     }
     CrashLedger first;
-    for (const RequestEvidence& one : heard)
+    for (const RequestEvidence& one : received)
       first.Merge(one, kStart);
-    auto shuffled = heard;
+    auto shuffled = received;
     base::Random random(*rc::gen::arbitrary<uint64_t>());
     std::ranges::shuffle(shuffled, random);
     CrashLedger second;
@@ -204,7 +205,7 @@
     }
   });
 
-  rc::prop("and one that knows nothing is told all that decides", [] {
+  rc::prop("and shared evidence gives an empty ledger the same verdicts", [] {
     CrashLedger full;
     const auto count = *rc::gen::inRange(1, 20);
     for (int i = 0; i < count; ++i) {
@@ -214,8 +215,8 @@
                     kStart);
     }
     CrashLedger fresh;
-    for (const RequestEvidence& told : full.SharedEvidence())
-      fresh.Merge(told, kStart);
+    for (const RequestEvidence& evidence : full.SharedEvidence())
+      fresh.Merge(evidence, kStart);
     RC_ASSERT(fresh.digest() == full.digest());
     for (uint64_t i = 1; i < 4; ++i)
       RC_ASSERT(fresh.VerdictOf({i}, kStart) == full.VerdictOf({i}, kStart));
--- a/tests/auto/quarantine/crash_simulation.cc
+++ b/tests/auto/quarantine/crash_simulation.cc
@@ -15,12 +15,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Servers that a call reaches, and nodes that it is sent to.
-constexpr int kMostServers = 3;
-constexpr int kMostSends = 10;
-constexpr uint64_t kPopular = 10;
-constexpr uint64_t kFirstPopular = 100;
-constexpr seconds kTimeToHear(3);
+// Limits on the servers that may run a call, and on the nodes that it is sent
+// to.
+constexpr int kMaxServersPerCall = 3;
+constexpr int kMaxSendsPerCall = 10;
+constexpr uint64_t kPopularRequests = 10;
+constexpr uint64_t kFirstPopularFingerprint = 100;
+constexpr seconds kPropagationTime(3);
 
 }  // namespace
 
@@ -31,24 +32,25 @@
     servers_[i].node = {1 + random_()};
   }
   for (size_t i = 0; i < servers_.size(); ++i)
-    ScheduleChanceEnd(i);
-  if (options.mass_interval > Duration::zero())
-    After(options.mass_interval, [this] { EndMany(); });
+    ScheduleRandomCrash(i);
+  if (options.mass_crash_interval > Duration::zero())
+    ScheduleAfter(options.mass_crash_interval, [this] { CrashMany(); });
 }
 
 CrashSimulationResult CrashSimulation::Run() {
-  ArriveNext();
+  StartNextCall();
   Tick();
-  for (size_t i = 0; i < options_.guilty; ++i) {
-    const RequestFingerprint content{1 + i};
-    guilty_ends_[content.value];
+  for (size_t i = 0; i < options_.poison_requests; ++i) {
+    const RequestFingerprint fingerprint{1 + i};
+    poison_crashes_[fingerprint.value];
     const auto send = std::make_shared<std::function<void()>>();
-    *send = [this, content, send] {
-      Begin(
-          {.content = content, .run = options_.guilty_run, .is_guilty = true});
-      After(options_.guilty_interval, *send);
+    *send = [this, fingerprint, send] {
+      StartCall({.fingerprint = fingerprint,
+                 .run = options_.poison_run_time,
+                 .is_poison = true});
+      ScheduleAfter(options_.poison_interval, *send);
     };
-    After(seconds(2), *send);
+    ScheduleAfter(seconds(2), *send);
   }
   while (!events_.empty() && events_.top().when <= end_) {
     const Event event = events_.top();
@@ -56,57 +58,61 @@
     now_ = event.when;
     event.act();
   }
-  for (const auto& [content, ends] : guilty_ends_) {
-    result_.ends_by_guilty.push_back(ends.size());
-    const bool has_three = ends.size() >= 3;
-    result_.late_by_guilty.push_back(
-        has_three
-            ? static_cast<size_t>(std::ranges::count_if(
-                  ends,
-                  [&](Instant end) { return end > ends[2] + kTimeToHear; }))
-            : 0);
-    const auto verdict = ledger_.VerdictOf({content}, now_).verdict;
-    result_.guilty_in_quarantine += verdict == Verdict::kQuarantined ? 1 : 0;
+  for (const auto& [fingerprint, crashes] : poison_crashes_) {
+    result_.crashes_by_poison.push_back(crashes.size());
+    const bool has_three = crashes.size() >= 3;
+    result_.late_crashes_by_poison.push_back(
+        has_three ? static_cast<size_t>(std::ranges::count_if(
+                        crashes,
+                        [&](Instant crash) {
+                          return crash > crashes[2] + kPropagationTime;
+                        }))
+                  : 0);
+    const auto verdict = ledger_.VerdictOf({fingerprint}, now_).verdict;
+    result_.quarantined_poison += verdict == Verdict::kQuarantined ? 1 : 0;
   }
-  result_.wrong_suspects = wrong_suspects_.size();
-  result_.wrong_quarantines = wrong_quarantines_.size();
-  result_.wrong_long_holds = wrong_long_holds_.size();
+  result_.false_suspects = false_suspects_.size();
+  result_.false_quarantines = false_quarantines_.size();
+  result_.false_long_quarantines = false_long_quarantines_.size();
   return result_;
 }
 
-void CrashSimulation::At(Instant when, std::function<void()> act) {
+void CrashSimulation::ScheduleAt(Instant when, std::function<void()> act) {
   events_.push({when, ++order_, std::move(act)});
 }
 
-void CrashSimulation::After(Duration delay, std::function<void()> act) {
-  At(now_ + delay, std::move(act));
+void CrashSimulation::ScheduleAfter(Duration delay, std::function<void()> act) {
+  ScheduleAt(now_ + delay, std::move(act));
 }
 
-double CrashSimulation::Chance() {
+double CrashSimulation::DrawUniform() {
   return std::uniform_real_distribution<>(0, 1)(random_);
 }
 
-Duration CrashSimulation::Exponential(Duration mean) {
+Duration CrashSimulation::DrawExponential(Duration mean) {
   const double drawn = std::exponential_distribution<>(1)(random_);
   return std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(mean) * drawn);
 }
 
-void CrashSimulation::ArriveNext() {
-  const bool is_popular = Chance() < options_.popular_share;
-  const bool is_long = !is_popular && Chance() < options_.long_share;
-  const uint64_t content =
-      is_popular ? kFirstPopular + random_() % kPopular : ++last_content_;
-  Begin({.content = {content},
-         .run = is_long ? options_.long_run
-                        : options_.usual_run / 2 +
-                              Exponential(options_.usual_run / 2)});
+void CrashSimulation::StartNextCall() {
+  const bool is_popular = DrawUniform() < options_.popular_share;
+  const bool is_long =
+      !is_popular && DrawUniform() < options_.long_running_share;
+  const uint64_t fingerprint =
+      is_popular ? kFirstPopularFingerprint + random_() % kPopularRequests
+                 : ++last_fingerprint_;
+  StartCall({.fingerprint = {fingerprint},
+             .run = is_long
+                        ? options_.long_run_time
+                        : options_.usual_run_time / 2 +
+                              DrawExponential(options_.usual_run_time / 2)});
   const auto interval = std::chrono::duration_cast<Duration>(
       seconds(1) / options_.requests_per_second);
-  After(Exponential(interval), [this] { ArriveNext(); });
+  ScheduleAfter(DrawExponential(interval), [this] { StartNextCall(); });
 }
 
-void CrashSimulation::Begin(Call call) {
+void CrashSimulation::StartCall(Call call) {
   const uint64_t id = ++last_call_;
   ++result_.calls;
   calls_[id] = std::move(call);
@@ -115,25 +121,25 @@
 
 void CrashSimulation::Send(uint64_t id) {
   Call& call = calls_[id];
-  const VerdictUntil verdict = verdicts_->Of(call.content);
+  const VerdictUntil verdict = verdicts_->Of(call.fingerprint);
   if (verdict.verdict == Verdict::kQuarantined) {
-    OnRefused(id, base::ErrorKind::kRequestQuarantined);
+    OnRejected(id, base::ErrorKind::kRequestQuarantined);
     return;
   }
-  Server* server = Choose(call);
+  Server* server = ChooseServer(call);
   if (!server) {
     calls_.erase(id);
     return;
   }
   call.tried.push_back(server->node);
-  if (const auto refusal =
-          server->guard.Judge({call.content, IsSuspect(call)}, now_))
-    OnRefused(id, refusal->error);
+  if (const auto rejection =
+          server->filter.Judge({call.fingerprint, IsSuspect(call)}, now_))
+    OnRejected(id, rejection->error);
   else
-    Start(id, *server);
+    StartAttempt(id, *server);
 }
 
-CrashSimulation::Server* CrashSimulation::Choose(const Call& call) {
+CrashSimulation::Server* CrashSimulation::ChooseServer(const Call& call) {
   std::vector<Server*> up;
   std::vector<routing::ServerCandidate> candidates;
   for (Server& server : servers_) {
@@ -147,36 +153,39 @@
   if (up.empty())
     return nullptr;
   if (IsSuspect(call)) {
-    const auto* owner = ingress::OwnerAmong(call.content.value, candidates);
+    const auto* owner = ingress::OwnerAmong(call.fingerprint.value, candidates);
     return *std::ranges::find(up, owner->node, &Server::node);
   }
-  // Where least is running, as the chooser does on servers of equal speed.
+  // The server with the fewest running requests, as the chooser does for
+  // servers of equal speed.
   return *std::ranges::min_element(
       up, {}, [](const Server* server) { return server->running.size(); });
 }
 
 bool CrashSimulation::IsSuspect(const Call& call) const {
-  return call.lost >= 2 || !verdicts_->IsFree(call.content);
+  return call.lost >= 2 || !verdicts_->IsFree(call.fingerprint);
 }
 
-void CrashSimulation::Start(uint64_t id, Server& server) {
+void CrashSimulation::StartAttempt(uint64_t id, Server& server) {
   const Call& call = calls_[id];
   const uint64_t attempt = ++last_attempt_;
-  server.running[attempt] = {id, call.content, IsSuspect(call), now_};
-  server.guard.OnStarted({1, attempt}, {call.content, IsSuspect(call)});
+  server.running[attempt] = {id, call.fingerprint, IsSuspect(call), now_};
+  server.filter.OnStarted({1, attempt}, {call.fingerprint, IsSuspect(call)});
   const auto index = static_cast<size_t>(&server - servers_.data());
-  After(call.run, [this, index, life = server.life, attempt] {
-    OnRunOver(index, life, attempt);
+  ScheduleAfter(call.run, [this, index, life = server.life, attempt] {
+    OnRunFinished(index, life, attempt);
   });
 }
 
-void CrashSimulation::OnRunOver(size_t index, uint32_t life, uint64_t attempt) {
+void CrashSimulation::OnRunFinished(size_t index,
+                                    uint32_t life,
+                                    uint64_t attempt) {
   Server& server = servers_[index];
   if (!server.is_up || server.life != life)
     return;
   const Call& call = calls_[server.running[attempt].call];
-  if (call.is_guilty) {
-    guilty_ends_[call.content.value].push_back(now_);
+  if (call.is_poison) {
+    poison_crashes_[call.fingerprint.value].push_back(now_);
     CrashServer(server);
   } else {
     OnAnswered(server, attempt);
@@ -188,87 +197,90 @@
   server.running.erase(number);
   calls_.erase(attempt.call);
   ++result_.answered;
-  if (!server.guard.OnEnded({1, number}, attempt.content, server.life, now_))
+  if (!server.filter.OnEnded({1, number}, attempt.fingerprint, server.life,
+                             now_))
     return;
-  Tell([this, content = attempt.content] { ledger_.Refute(content, now_); });
+  Propagate([this, fingerprint = attempt.fingerprint] {
+    ledger_.Refute(fingerprint, now_);
+  });
 }
 
-void CrashSimulation::OnRefused(uint64_t id, base::ErrorKind error) {
+void CrashSimulation::OnRejected(uint64_t id, base::ErrorKind error) {
   const Call& call = calls_[id];
   const bool may_move = error == base::ErrorKind::kRequestSuspected &&
-                        static_cast<int>(call.tried.size()) < kMostSends;
+                        static_cast<int>(call.tried.size()) < kMaxSendsPerCall;
   if (may_move) {
-    After(milliseconds(2), [this, id] { Send(id); });
+    ScheduleAfter(milliseconds(2), [this, id] { Send(id); });
     return;
   }
-  if (!call.is_guilty)
-    ++result_.wrong_refusals;
+  if (!call.is_poison)
+    ++result_.false_rejections;
   calls_.erase(id);
 }
 
 void CrashSimulation::OnLost(uint64_t id) {
   Call& call = calls_[id];
   ++call.lost;
-  if (call.lost < kMostServers) {
-    After(milliseconds(5), [this, id] { Send(id); });
+  if (call.lost < kMaxServersPerCall) {
+    ScheduleAfter(milliseconds(5), [this, id] { Send(id); });
     return;
   }
   Call returned = call;
   calls_.erase(id);
-  if (returned.returns == 0)
+  if (returned.remaining_retries == 0)
     return;
-  --returned.returns;
+  --returned.remaining_retries;
   returned.lost = 0;
   returned.tried.clear();
-  After(milliseconds(10), [this, returned] { Begin(returned); });
+  ScheduleAfter(milliseconds(10), [this, returned] { StartCall(returned); });
 }
 
 void CrashSimulation::CrashServer(Server& server) {
-  ++result_.ends;
+  ++result_.crashes;
   server.is_up = false;
   std::vector<RunningRequest> running;
   std::vector<uint64_t> lost;
   for (const auto& [number, attempt] : server.running) {
     running.push_back(
-        {attempt.content, now_ - attempt.started, attempt.is_suspect});
+        {attempt.fingerprint, now_ - attempt.started, attempt.is_suspect});
     lost.push_back(attempt.call);
-    server.guard.OnEnded({1, number}, attempt.content, std::nullopt, now_);
+    server.filter.OnEnded({1, number}, attempt.fingerprint, std::nullopt, now_);
   }
   server.running.clear();
   const ServerCrash crash =
-      server.guard.AttributeCrash({server.node, server.life}, running, now_);
-  Tell([this, crash] { ledger_.AddCrash(crash, now_); });
+      server.filter.AttributeCrash({server.node, server.life}, running, now_);
+  Propagate([this, crash] { ledger_.AddCrash(crash, now_); });
   for (const uint64_t call : lost)
     OnLost(call);
   const auto index = static_cast<size_t>(&server - servers_.data());
-  After(options_.down_for, [this, index] {
+  ScheduleAfter(options_.restart_time, [this, index] {
     servers_[index].is_up = true;
     ++servers_[index].life;
-    ScheduleChanceEnd(index);
+    ScheduleRandomCrash(index);
   });
 }
 
-void CrashSimulation::ScheduleChanceEnd(size_t index) {
-  if (options_.mean_life == Duration::zero())
+void CrashSimulation::ScheduleRandomCrash(size_t index) {
+  if (options_.mean_uptime == Duration::zero())
     return;
-  After(Exponential(options_.mean_life),
-        [this, index, life = servers_[index].life] {
-          if (servers_[index].is_up && servers_[index].life == life)
-            CrashServer(servers_[index]);
-        });
+  ScheduleAfter(DrawExponential(options_.mean_uptime),
+                [this, index, life = servers_[index].life] {
+                  if (servers_[index].is_up && servers_[index].life == life)
+                    CrashServer(servers_[index]);
+                });
 }
 
-void CrashSimulation::EndMany() {
+void CrashSimulation::CrashMany() {
   for (Server& server : servers_) {
-    if (server.is_up && Chance() < options_.mass_share)
+    if (server.is_up && DrawUniform() < options_.mass_crash_share)
       CrashServer(server);
   }
-  After(options_.mass_interval, [this] { EndMany(); });
+  ScheduleAfter(options_.mass_crash_interval, [this] { CrashMany(); });
 }
 
-void CrashSimulation::Tell(std::function<void()> news) {
-  After(options_.news_delay, [this, news = std::move(news)] {
-    news();
+void CrashSimulation::Propagate(std::function<void()> update) {
+  ScheduleAfter(options_.propagation_delay, [this, update = std::move(update)] {
+    update();
     PublishVerdicts();
   });
 }
@@ -276,28 +288,28 @@
 void CrashSimulation::PublishVerdicts() {
   verdicts_ = std::make_shared<const Verdicts>(ledger_.AllVerdicts(now_));
   for (Server& server : servers_) {
-    for (const RequestFingerprint& content :
-         server.guard.SetVerdicts(verdicts_, server.life, now_)) {
-      Tell([this, content] { ledger_.Refute(content, now_); });
+    for (const RequestFingerprint& fingerprint :
+         server.filter.SetVerdicts(verdicts_, server.life, now_)) {
+      Propagate([this, fingerprint] { ledger_.Refute(fingerprint, now_); });
     }
   }
-  for (const auto& [content, verdict] : verdicts_->all()) {
-    if (guilty_ends_.contains(content.value))
+  for (const auto& [fingerprint, verdict] : verdicts_->all()) {
+    if (poison_crashes_.contains(fingerprint.value))
       continue;
-    wrong_suspects_.insert(content.value);
+    false_suspects_.insert(fingerprint.value);
     if (verdict.verdict == Verdict::kQuarantined)
-      wrong_quarantines_.insert(content.value);
+      false_quarantines_.insert(fingerprint.value);
     if (verdict.verdict == Verdict::kQuarantined &&
         verdict.until > now_ + CrashLedger::kFirstQuarantinePeriod)
-      wrong_long_holds_.insert(content.value);
+      false_long_quarantines_.insert(fingerprint.value);
   }
 }
 
-// Verdicts end with time, too.
+// Verdicts also expire.
 void CrashSimulation::Tick() {
   ledger_.Expire(now_);
   PublishVerdicts();
-  After(seconds(1), [this] { Tick(); });
+  ScheduleAfter(seconds(1), [this] { Tick(); });
 }
 
 }  // namespace chestnutport::quarantine
--- a/tests/auto/quarantine/crash_simulation.h
+++ b/tests/auto/quarantine/crash_simulation.h
@@ -1,5 +1,5 @@
-// Servers that end, callers that return, and the product's own decisions on
-// which request may run: in one process and in virtual time.
+// Simulates crashing servers and retrying callers around the verdicts and the
+// filters of the product, in one process and in virtual time.
 #ifndef QUARANTINE_CRASH_SIMULATION_H_
 #define QUARANTINE_CRASH_SIMULATION_H_
 
@@ -23,40 +23,44 @@
   size_t servers = 7;
   base::Duration length = std::chrono::seconds(60);
   double requests_per_second = 270;
-  // Of the requests, those that run for `long_run`.
-  double long_share = 0.01;
-  base::Duration long_run = std::chrono::seconds(8);
-  base::Duration usual_run = std::chrono::milliseconds(90);
-  // Of the requests, those for one of ten contents that all ask for.
+  // Share of the requests that run for `long_run_time`.
+  double long_running_share = 0.01;
+  base::Duration long_run_time = std::chrono::seconds(8);
+  base::Duration usual_run_time = std::chrono::milliseconds(90);
+  // Share of the requests that are one of ten popular ones.
   double popular_share = 0.2;
-  // The mean time from a start of a server to an end that has nothing to do
-  // with what it runs; zero: there are none.
-  base::Duration mean_life{};
-  // Every so often this share of the servers ends at once; zero: never.
-  base::Duration mass_interval{};
-  double mass_share = 0;
-  base::Duration down_for = std::chrono::seconds(3);
-  // Until all nodes know what one saw, measured at 30 to 3,000 nodes.
-  base::Duration news_delay = std::chrono::milliseconds(200);
-  // Requests that end each server that runs them, and how often each is sent.
-  size_t guilty = 0;
-  base::Duration guilty_interval = std::chrono::seconds(4);
-  base::Duration guilty_run = std::chrono::milliseconds(90);
+  // Mean time from the start of a server to a crash with a cause other than its
+  // requests; zero disables such crashes.
+  base::Duration mean_uptime{};
+  // Interval at which a share of the servers crashes at once; zero disables
+  // mass crashes.
+  base::Duration mass_crash_interval{};
+  double mass_crash_share = 0;
+  base::Duration restart_time = std::chrono::seconds(3);
+  // Time until all nodes know what one has observed, measured in fleets of 30
+  // to 3,000 nodes.
+  base::Duration propagation_delay = std::chrono::milliseconds(200);
+  // Requests that crash each server that runs them, and how often each is sent.
+  size_t poison_requests = 0;
+  base::Duration poison_interval = std::chrono::seconds(4);
+  base::Duration poison_run_time = std::chrono::milliseconds(90);
 };
 
 struct CrashSimulationResult {
   size_t calls = 0;
   size_t answered = 0;
-  size_t ends = 0;
-  size_t wrong_quarantines = 0;  // Of requests that end no server.
-  size_t wrong_long_holds = 0;   // Of those, for more than a moment.
-  size_t wrong_refusals = 0;     // Their calls that a verdict refused.
-  size_t wrong_suspects = 0;
-  // Ends of servers by each guilty request, and those later than three seconds
+  size_t crashes = 0;
+  size_t false_quarantines = 0;  // Of requests that crash no server.
+  size_t false_long_quarantines =
+      0;  // Of those, for longer than kFirstQuarantinePeriod.
+  size_t false_rejections =
+      0;  // Calls of such requests that a verdict rejected.
+  size_t false_suspects = 0;
+  // Crashes by each poison request, and those of them later than three seconds
   // after the third.
-  std::vector<size_t> ends_by_guilty;
-  std::vector<size_t> late_by_guilty;
-  size_t guilty_in_quarantine = 0;
+  std::vector<size_t> crashes_by_poison;
+  std::vector<size_t> late_crashes_by_poison;
+  size_t quarantined_poison = 0;
 };
 
 class CrashSimulation {
@@ -68,7 +72,7 @@
  private:
   struct Attempt {
     uint64_t call = 0;
-    base::RequestFingerprint content;
+    base::RequestFingerprint fingerprint;
     bool is_suspect = false;
     base::Instant started;
   };
@@ -76,15 +80,15 @@
     base::NodeId node;
     uint32_t life = 1;
     bool is_up = true;
-    QuarantineFilter guard;
-    std::map<uint64_t, Attempt> running;  // By the attempt's number.
+    QuarantineFilter filter;
+    std::map<uint64_t, Attempt> running;  // By attempt number.
   };
   struct Call {
-    base::RequestFingerprint content;
+    base::RequestFingerprint fingerprint;
     base::Duration run{};
-    bool is_guilty = false;
-    int lost = 0;     // Attempts that ended with their server.
-    int returns = 1;  // That the caller has left.
+    bool is_poison = false;
+    int lost = 0;               // Attempts lost in a crash.
+    int remaining_retries = 1;  // Retries left to the caller.
     std::vector<base::NodeId> tried;
   };
   struct Event {
@@ -97,26 +101,26 @@
     }
   };
 
-  void At(base::Instant when, std::function<void()> act);
-  void After(base::Duration delay, std::function<void()> act);
-  base::Duration Exponential(base::Duration mean);
-  double Chance();
+  void ScheduleAt(base::Instant when, std::function<void()> act);
+  void ScheduleAfter(base::Duration delay, std::function<void()> act);
+  base::Duration DrawExponential(base::Duration mean);
+  double DrawUniform();
 
-  void ArriveNext();
-  void Begin(Call call);
+  void StartNextCall();
+  void StartCall(Call call);
   void Send(uint64_t id);
-  Server* Choose(const Call& call);
-  // Servers ended with it twice, as far as the node that sends it knows.
+  Server* ChooseServer(const Call& call);
+  // Whether two crashes with the request are known to the sending node.
   bool IsSuspect(const Call& call) const;
-  void Start(uint64_t id, Server& server);
-  void OnRunOver(size_t server, uint32_t life, uint64_t attempt);
+  void StartAttempt(uint64_t id, Server& server);
+  void OnRunFinished(size_t server, uint32_t life, uint64_t attempt);
   void OnAnswered(Server& server, uint64_t attempt);
-  void OnRefused(uint64_t id, base::ErrorKind error);
+  void OnRejected(uint64_t id, base::ErrorKind error);
   void OnLost(uint64_t id);
   void CrashServer(Server& server);
-  void ScheduleChanceEnd(size_t server);
-  void EndMany();
-  void Tell(std::function<void()> news);
+  void ScheduleRandomCrash(size_t server);
+  void CrashMany();
+  void Propagate(std::function<void()> update);
   void PublishVerdicts();
   void Tick();
 
@@ -127,17 +131,17 @@
   uint64_t order_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::vector<Server> servers_;
-  // What all nodes know; what one sees comes there a delay later.
+  // The evidence that all nodes share; it is added after the propagation delay.
   CrashLedger ledger_;
   SharedVerdicts verdicts_ = std::make_shared<const Verdicts>();
   std::map<uint64_t, Call> calls_;
   uint64_t last_call_ = 0;
   uint64_t last_attempt_ = 0;
-  uint64_t last_content_ = 1000;
-  std::set<uint64_t> wrong_suspects_;
-  std::set<uint64_t> wrong_quarantines_;
-  std::set<uint64_t> wrong_long_holds_;
-  std::map<uint64_t, std::vector<base::Instant>> guilty_ends_;
+  uint64_t last_fingerprint_ = 1000;
+  std::set<uint64_t> false_suspects_;
+  std::set<uint64_t> false_quarantines_;
+  std::set<uint64_t> false_long_quarantines_;
+  std::map<uint64_t, std::vector<base::Instant>> poison_crashes_;
   CrashSimulationResult result_;
 };
 
--- a/tests/auto/quarantine/ending_world_test.cc
+++ b/tests/auto/quarantine/ending_world_test.cc
@@ -1,5 +1,5 @@
-// Whom verdicts fall on: nobody, where servers end of other reasons; and what
-// ends servers, soon.
+// Verdicts under server crashes: requests are not quarantined for crashes with
+// other causes, and requests that crash servers are quarantined soon.
 #include "crash_simulation.h"
 
 #include <algorithm>
@@ -14,107 +14,108 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr uint64_t kSeeds = 30;
-// The aim: not more than three more ends, once all had time to hear of the
-// third.
-constexpr size_t kLateAllowed = 3;
+constexpr uint64_t kSeedCount = 30;
+// At most three further crashes once the third is known to all nodes.
+constexpr size_t kMaxLateCrashes = 3;
 
 struct Sum {
   size_t calls = 0;
   size_t answered = 0;
-  size_t ends = 0;
-  size_t wrong_suspects = 0;
-  size_t wrong_quarantines = 0;
-  size_t wrong_long_holds = 0;
-  size_t wrong_refusals = 0;
-  size_t guilty = 0;
-  size_t guilty_in_quarantine = 0;
-  size_t ends_by_guilty = 0;
-  size_t most_by_one = 0;
-  size_t most_late = 0;
+  size_t crashes = 0;
+  size_t false_suspects = 0;
+  size_t false_quarantines = 0;
+  size_t false_long_quarantines = 0;
+  size_t false_rejections = 0;
+  size_t poison_requests = 0;
+  size_t quarantined_poison = 0;
+  size_t crashes_by_poison = 0;
+  size_t max_crashes_by_one = 0;
+  size_t max_late_crashes = 0;
 };
 
-Sum PlayAll(CrashSimulationOptions options) {
+Sum RunAllSeeds(CrashSimulationOptions options) {
   Sum sum;
-  for (options.seed = 1; options.seed <= kSeeds; ++options.seed) {
+  for (options.seed = 1; options.seed <= kSeedCount; ++options.seed) {
     const CrashSimulationResult result = CrashSimulation(options).Run();
     sum.calls += result.calls;
     sum.answered += result.answered;
-    sum.ends += result.ends;
-    sum.wrong_suspects += result.wrong_suspects;
-    sum.wrong_quarantines += result.wrong_quarantines;
-    sum.wrong_long_holds += result.wrong_long_holds;
-    sum.wrong_refusals += result.wrong_refusals;
-    sum.guilty += result.ends_by_guilty.size();
-    sum.guilty_in_quarantine += result.guilty_in_quarantine;
-    for (size_t i = 0; i < result.ends_by_guilty.size(); ++i) {
-      sum.ends_by_guilty += result.ends_by_guilty[i];
-      sum.most_by_one = std::max(sum.most_by_one, result.ends_by_guilty[i]);
-      sum.most_late = std::max(sum.most_late, result.late_by_guilty[i]);
+    sum.crashes += result.crashes;
+    sum.false_suspects += result.false_suspects;
+    sum.false_quarantines += result.false_quarantines;
+    sum.false_long_quarantines += result.false_long_quarantines;
+    sum.false_rejections += result.false_rejections;
+    sum.poison_requests += result.crashes_by_poison.size();
+    sum.quarantined_poison += result.quarantined_poison;
+    for (size_t i = 0; i < result.crashes_by_poison.size(); ++i) {
+      sum.crashes_by_poison += result.crashes_by_poison[i];
+      sum.max_crashes_by_one =
+          std::max(sum.max_crashes_by_one, result.crashes_by_poison[i]);
+      sum.max_late_crashes =
+          std::max(sum.max_late_crashes, result.late_crashes_by_poison[i]);
     }
   }
   return sum;
 }
 
-// What was played, and what came of it.
+// Summarises the runs for failure messages.
 std::string Describe(const Sum& sum) {
-  return absl::StrCat(sum.calls, " calls, ", sum.answered, " answered; ",
-                      sum.ends, " ends of servers; of innocent requests ",
-                      sum.wrong_suspects, " suspected, ", sum.wrong_quarantines,
-                      " in quarantine, ", sum.wrong_long_holds, " for long, ",
-                      sum.wrong_refusals, " calls refused; of ", sum.guilty,
-                      " guilty ones ", sum.guilty_in_quarantine,
-                      " in quarantine, ", sum.ends_by_guilty, " ends, ",
-                      sum.most_by_one, " by one of them, ", sum.most_late,
-                      " after the time to hear");
+  return absl::StrCat(
+      sum.calls, " calls, ", sum.answered, " answered; ", sum.crashes,
+      " crashes of servers; of innocent requests ", sum.false_suspects,
+      " suspected, ", sum.false_quarantines, " in quarantine, ",
+      sum.false_long_quarantines, " for long, ", sum.false_rejections,
+      " calls refused; of ", sum.poison_requests, " poison requests ",
+      sum.quarantined_poison, " in quarantine, ", sum.crashes_by_poison,
+      " crashes, ", sum.max_crashes_by_one, " by one of them, ",
+      sum.max_late_crashes, " after the propagation time");
 }
 
-TEST_CASE("servers that end by chance") {
+TEST_CASE("servers crash for other reasons") {
   CrashSimulationOptions options;
-  SECTION("each every ten seconds of its life") {
-    options.mean_life = seconds(10);
+  SECTION("each on average ten seconds after its start") {
+    options.mean_uptime = seconds(10);
   }
-  SECTION("two in five at once, every ten seconds") {
-    options.mass_interval = seconds(10);
-    options.mass_share = 0.4;
+  SECTION("40 % of them at once, every ten seconds") {
+    options.mass_crash_interval = seconds(10);
+    options.mass_crash_share = 0.4;
   }
-  SECTION("both, with many requests that run for long") {
-    options.mean_life = seconds(10);
-    options.mass_interval = seconds(10);
-    options.mass_share = 0.4;
-    options.long_share = 0.05;
+  SECTION("both, with many long-running requests") {
+    options.mean_uptime = seconds(10);
+    options.mass_crash_interval = seconds(10);
+    options.mass_crash_share = 0.4;
+    options.long_running_share = 0.05;
   }
-  const Sum sum = PlayAll(options);
+  const Sum sum = RunAllSeeds(options);
   INFO(Describe(sum));
-  CHECK(sum.wrong_refusals == 0);
-  CHECK(sum.wrong_long_holds == 0);
+  CHECK(sum.false_rejections == 0);
+  CHECK(sum.false_long_quarantines == 0);
 }
 
-TEST_CASE("servers that requests end") {
+TEST_CASE("servers crash because of requests") {
   CrashSimulationOptions options;
-  options.guilty = 1;
+  options.poison_requests = 1;
   SECTION("one request") {}
-  SECTION("one that returns every second") {
-    options.guilty_interval = seconds(1);
+  SECTION("one that is sent every second") {
+    options.poison_interval = seconds(1);
   }
   SECTION("two at once") {
-    options.guilty = 2;
+    options.poison_requests = 2;
   }
-  SECTION("one that runs for two seconds before its server ends") {
-    options.guilty_run = seconds(2);
+  SECTION("one that runs for two seconds before the crash") {
+    options.poison_run_time = seconds(2);
   }
-  SECTION("one of 295 servers") {
+  SECTION("one among 295 servers") {
     options.servers = 295;
     options.requests_per_second = 2000;
     options.length = seconds(20);
   }
-  SECTION("one, while servers end by chance too") {
-    options.mean_life = seconds(10);
+  SECTION("one, while servers also crash for other reasons") {
+    options.mean_uptime = seconds(10);
   }
-  const Sum sum = PlayAll(options);
+  const Sum sum = RunAllSeeds(options);
   INFO(Describe(sum));
-  CHECK(sum.guilty_in_quarantine == sum.guilty);
-  CHECK(sum.most_late <= kLateAllowed);
+  CHECK(sum.quarantined_poison == sum.poison_requests);
+  CHECK(sum.max_late_crashes <= kMaxLateCrashes);
 }
 
 }  // namespace
--- a/tests/auto/quarantine/evidence_codec_test.cc
+++ b/tests/auto/quarantine/evidence_codec_test.cc
@@ -1,4 +1,4 @@
-// Evidence as it travels between nodes and lies in the store.
+// Encoding of evidence for messages between nodes and for the store.
 #include "quarantine/evidence_codec.h"
 
 #include <rapidcheck/catch.h>
@@ -17,10 +17,11 @@
   std::vector<RequestEvidence> all;
   const auto count = *rc::gen::inRange(1, 20);
   for (int i = 0; i < count; ++i) {
-    RequestEvidence one{{*rc::gen::inRange<uint64_t>(1, UINT64_MAX)}, {}, {}};
+    RequestEvidence evidence{
+        {*rc::gen::inRange<uint64_t>(1, UINT64_MAX)}, {}, {}};
     const auto crashes = *rc::gen::inRange(0, 9);
-    for (int mark = 0; mark < crashes; ++mark) {
-      one.crashes.push_back(
+    for (int observation = 0; observation < crashes; ++observation) {
+      evidence.crashes.push_back(
           {.crash = {{*rc::gen::arbitrary<uint64_t>()},
                      *rc::gen::arbitrary<uint32_t>()},
            .lamport_time = *rc::gen::arbitrary<uint64_t>(),
@@ -31,17 +32,17 @@
     }
     const auto refuted = *rc::gen::inRange(0, 9);
     for (int id = 0; id < refuted; ++id) {
-      one.refuted.push_back(
+      evidence.refuted.push_back(
           {{{*rc::gen::arbitrary<uint64_t>()}, *rc::gen::arbitrary<uint32_t>()},
            *rc::gen::arbitrary<uint64_t>()});
     }
-    all.push_back(one);
+    all.push_back(evidence);
   }
   return all;
 }
 
-TEST_CASE("evidence travels") {
-  rc::prop("and is read as it was written, by another clock", [] {
+TEST_CASE("evidence is encoded and decoded") {
+  rc::prop("decoding restores it relative to another clock", [] {
     const auto sent = SomeEvidence();
     const std::string bytes = EncodeEvidence(sent, kStart);
     const auto shift = std::chrono::hours(5);
@@ -55,21 +56,24 @@
       RC_ASSERT(read[i].fingerprint == sent[i].fingerprint);
       RC_ASSERT(read[i].refuted == sent[i].refuted);
       RC_ASSERT(read[i].crashes.size() == sent[i].crashes.size());
-      for (size_t mark = 0; mark < sent[i].crashes.size(); ++mark) {
-        RC_ASSERT(read[i].crashes[mark].crash == sent[i].crashes[mark].crash);
-        RC_ASSERT(read[i].crashes[mark].lamport_time ==
-                  sent[i].crashes[mark].lamport_time);
-        RC_ASSERT(read[i].crashes[mark].run_time ==
-                  sent[i].crashes[mark].run_time);
-        RC_ASSERT(read[i].crashes[mark].is_sole_suspect ==
-                  sent[i].crashes[mark].is_sole_suspect);
-        RC_ASSERT(read[i].crashes[mark].at == sent[i].crashes[mark].at + shift);
+      for (size_t observation = 0; observation < sent[i].crashes.size();
+           ++observation) {
+        RC_ASSERT(read[i].crashes[observation].crash ==
+                  sent[i].crashes[observation].crash);
+        RC_ASSERT(read[i].crashes[observation].lamport_time ==
+                  sent[i].crashes[observation].lamport_time);
+        RC_ASSERT(read[i].crashes[observation].run_time ==
+                  sent[i].crashes[observation].run_time);
+        RC_ASSERT(read[i].crashes[observation].is_sole_suspect ==
+                  sent[i].crashes[observation].is_sole_suspect);
+        RC_ASSERT(read[i].crashes[observation].at ==
+                  sent[i].crashes[observation].at + shift);
       }
     }
     RC_ASSERT(bytes.size() <= size);
   });
 
-  rc::prop("and what is broken on the way is not read", [] {
+  rc::prop("damaged bytes are decoded without a crash", [] {
     std::string bytes = EncodeEvidence(SomeEvidence(), kStart);
     const auto places = *rc::gen::container<std::vector<size_t>>(
         4, rc::gen::inRange<size_t>(0, bytes.size()));
