--- a/src/libs/membership/byte_rate_limiter.h
+++ b/src/libs/membership/byte_rate_limiter.h
@@ -1,4 +1,4 @@
-// A token bucket that limits what a node sends.
+// A token bucket that limits the bytes a node sends.
 #ifndef MEMBERSHIP_BYTE_RATE_LIMITER_H_
 #define MEMBERSHIP_BYTE_RATE_LIMITER_H_
 
@@ -12,11 +12,12 @@
  public:
   ByteRateLimiter(size_t per_second, size_t burst, base::Instant now);
 
-  // Whether anything may be sent now.
+  // Refills the bucket and returns whether anything may be sent now.
   bool HasTokens(base::Instant now);
-  // Takes `bytes`; the balance may go below zero by one datagram.
+  // Takes `bytes` from the bucket. The balance may go below zero by one
+  // datagram.
   void Consume(size_t bytes);
-  // When the budget is open again.
+  // Returns when sending is possible again.
   base::Instant NextAvailable() const;
 
  private:
--- a/src/libs/membership/datagram_authenticator.h
+++ b/src/libs/membership/datagram_authenticator.h
@@ -1,5 +1,5 @@
-// Shows that a datagram comes from a node of this fleet: a 128-bit tag of
-// HMAC-SHA-256 over the fleet's name and the message.
+// Authenticates datagrams between nodes of one fleet with a 128-bit tag: a
+// truncated HMAC-SHA-256 over the name of the fleet and the message.
 #ifndef MEMBERSHIP_DATAGRAM_AUTHENTICATOR_H_
 #define MEMBERSHIP_DATAGRAM_AUTHENTICATOR_H_
 
@@ -13,14 +13,14 @@
  public:
   static constexpr size_t kTagSize = 16;
 
-  // `previous_key` is only accepted; empty: none.
+  // `previous_key` is accepted but never used for signing; it may be empty.
   DatagramAuthenticator(const std::string& fleet,
                         std::string key,
                         std::string previous_key);
 
-  // The tag followed by `message`.
+  // Returns the tag followed by `message`.
   std::string Sign(std::string_view message) const;
-  // The message in `datagram`; none unless its tag is right.
+  // Returns the message in `datagram`, or nothing if its tag is wrong.
   std::optional<std::string_view> Verify(std::string_view datagram) const;
 
  private:
--- a/src/libs/membership/evidence_disseminator.cc
+++ b/src/libs/membership/evidence_disseminator.cc
@@ -103,20 +103,21 @@
   if (!all)
     return std::nullopt;
   bool is_new = false;
-  for (const RequestEvidence& heard : *all) {
-    const bool is_news = ledger_.Merge(heard, now);
-    is_new |= is_news;
-    const bool is_to_tell = (is_news && should_relay) || HasMoreThan(heard);
-    if (is_to_tell && IsFleetWide(heard.fingerprint))
-      Broadcast(heard.fingerprint, now);
+  for (const RequestEvidence& received : *all) {
+    const bool is_update = ledger_.Merge(received, now);
+    is_new |= is_update;
+    const bool should_broadcast =
+        (is_update && should_relay) || HasMoreThan(received);
+    if (should_broadcast && IsFleetWide(received.fingerprint))
+      Broadcast(received.fingerprint, now);
   }
   return is_new;
 }
 
-bool EvidenceDisseminator::HasMoreThan(const RequestEvidence& heard) const {
-  const auto known = ledger_.Find(heard.fingerprint);
-  return known && (known->crashes.size() > heard.crashes.size() ||
-                   known->refuted.size() > heard.refuted.size());
+bool EvidenceDisseminator::HasMoreThan(const RequestEvidence& received) const {
+  const auto known = ledger_.Find(received.fingerprint);
+  return known && (known->crashes.size() > received.crashes.size() ||
+                   known->refuted.size() > received.refuted.size());
 }
 
 std::string EvidenceDisseminator::EncodeAll(Instant now) const {
--- a/src/libs/membership/evidence_disseminator.h
+++ b/src/libs/membership/evidence_disseminator.h
@@ -1,11 +1,11 @@
-// Decides what is told of requests that servers ran when they ended, to whom,
-// within a budget of its own.
+// Disseminates evidence on requests that were running when servers crashed,
+// within a bandwidth budget of its own.
 //
-// At most ends nothing follows from what a server ran. So a single end is told
-// only to the few nodes that collect what is known of a request, chosen by its
-// fingerprint; once two ends are known of a request, all nodes are told, with
-// the gossip's messages. If all were told of each end, ten ends a second in a
-// fleet of hundreds would fill the budget of every node.
+// Most crashes say nothing about the requests that were running. The first
+// crash of a request is therefore sent only to a few collectors, chosen by the
+// fingerprint of the request. Once two crashes are known, the evidence is
+// broadcast with gossip messages. Broadcasting each crash would exhaust the
+// budget of every node at ten crashes a second in a fleet of hundreds of nodes.
 #ifndef MEMBERSHIP_EVIDENCE_DISSEMINATOR_H_
 #define MEMBERSHIP_EVIDENCE_DISSEMINATOR_H_
 
@@ -28,8 +28,8 @@
 
 class EvidenceDisseminator {
  public:
-  // Nodes that collect what is known of a request: one that is lost, and a
-  // datagram that is, leave others.
+  // Nodes that collect the evidence on one request. Several tolerate the loss
+  // of a node and of a datagram.
   static constexpr size_t kCollectors = 3;
 
   // `ledger` must outlive this object.
@@ -37,43 +37,47 @@
                        const GossipOptions& options,
                        base::Instant now);
 
-  // Whether all nodes are to know what the ledger has on the request.
+  // Returns whether the evidence on the request is to be known to all nodes.
   bool IsFleetWide(base::RequestFingerprint fingerprint) const;
-  // EncodeAll are to be told, soon.
+  // Queues the evidence on the request for broadcast.
   void Broadcast(base::RequestFingerprint fingerprint, base::Instant now);
-  // Whether something waits to be told at once, and from when on it may be.
+  // Whether evidence is queued that has not been sent yet, and the earliest
+  // time to send it.
   bool HasUnsent() const { return updates_.HasUnsent(); }
   base::Instant next_flush() const { return next_flush_; }
 
-  // What goes into a message to all now, of `room` bytes at most; empty:
-  // nothing is due, or the budget is used up.
+  // Returns the queued evidence for the next broadcast, in at most `room`
+  // bytes; empty if none is due or the budget is exhausted.
   std::string TakeUnsent(base::Instant now, size_t room);
-  // The same of what is told some times more.
+  // Returns evidence to piggyback on a ping or an ack, in at most `room` bytes.
   std::string TakePiggybacked(base::Instant now, size_t room);
-  // What the ledger has on these requests, in parts of `room` bytes at most.
+  // Returns the evidence on the requests, encoded in parts of at most `room`
+  // bytes unless a single request takes more.
   std::vector<std::string> EncodeInParts(
       std::span<const base::RequestFingerprint> requests,
       base::Instant now,
       size_t room) const;
-  // For the messages that are made of it.
+  // The budget that the resulting messages are charged to.
   ByteRateLimiter& budget() { return budget_; }
-  // There is nobody to tell now.
+  // Called when there is no member to send to.
   void PostponeFlush(base::Instant next_flush) { next_flush_ = next_flush; }
 
-  // What another node told; `should_relay`: others may not know it yet. Returns
-  // whether anything was new; nothing if it cannot be read.
+  // Adds evidence received from another node. `should_relay` is true if other
+  // nodes may not have it yet. Returns whether any of it was new, or nothing if
+  // it is malformed.
   std::optional<bool> MergeReceived(std::string_view bytes,
                                     bool should_relay,
                                     base::Instant now);
-  // EncodeAll that a node that knows nothing has to be told.
+  // Returns all evidence that every node is to have, encoded.
   std::string EncodeAll(base::Instant now) const;
   uint64_t digest() const { return ledger_.digest(); }
 
  private:
   using Queue = UpdateQueue<base::RequestFingerprint>;
 
-  // Whether the ledger has more on the request than what was heard.
-  bool HasMoreThan(const quarantine::RequestEvidence& heard) const;
+  // Returns whether the ledger has more evidence on the request than was
+  // received.
+  bool HasMoreThan(const quarantine::RequestEvidence& received) const;
 
   quarantine::CrashLedger& ledger_;
   GossipOptions options_;
--- a/src/libs/membership/gossip.cc
+++ b/src/libs/membership/gossip.cc
@@ -6,13 +6,14 @@
 namespace chestnutport::membership {
 namespace {
 
-// A member that left in good order cannot come back, but another may start at
-// its address; it is remembered while that is likely, and old news may travel.
-constexpr std::chrono::minutes kLeftMemory(2);
-// A member whose record nobody has is dropped.
-constexpr std::chrono::seconds kRecordPatience(30);
-// A revision that is not fetched is offered again, from another member.
-constexpr std::chrono::milliseconds kRevisionReminder(500);
+// How long members that left are kept. Such a member cannot return, but another
+// node may start at its address, and old updates may still be in transit.
+constexpr std::chrono::minutes kLeftRetention(2);
+// A member whose record no node could supply in this time is removed.
+constexpr std::chrono::seconds kRecordTimeout(30);
+// A revision that has not been fetched is reported again after this time, with
+// another member as its source.
+constexpr std::chrono::milliseconds kRevisionReportInterval(500);
 
 }  // namespace
 
@@ -86,12 +87,12 @@
                      GossipOutput& output) {
   if (has_left_)
     return;
-  const auto opened = authenticator_.Verify(datagram);
-  if (!opened) {
+  const auto payload = authenticator_.Verify(datagram);
+  if (!payload) {
     ++counters_.unauthenticated;
     return;
   }
-  const auto message = GossipMessage::Decode(*opened);
+  const auto message = GossipMessage::Decode(*payload);
   if (!message) {
     ++counters_.malformed;
     return;
@@ -105,8 +106,8 @@
                message->hash, ""},
               Source::kDatagram, output);
   const MemberEntry* sender = table_.Find(message->sender);
-  // A member that was declared gone first has to refute that; until then only
-  // what it says of this node counts.
+  // A member that was declared gone has to refute that first; until then only
+  // its updates on this node and on itself are accepted.
   const bool is_trusted = sender && sender->IsLive();
   for (const MemberUpdate& item : message->updates) {
     if (is_trusted || item.id == self_ || item.id == message->sender)
@@ -207,7 +208,7 @@
     ApplySelfUpdate(now, item);
     return;
   }
-  // That a member is gone is for each node to conclude from a suspicion.
+  // Each node concludes from its own suspicion that a member is gone.
   if (item.state == MemberState::kGone)
     return;
   SharedRecord record;
@@ -220,9 +221,9 @@
   const bool is_newer =
       !old || item.incarnation > old->incarnation ||
       (item.incarnation == old->incarnation && item.state > old->state);
-  const bool completes =
+  const bool is_missing_record =
       old && record && !old->IsCurrent() && old->hash == item.hash;
-  if (!is_newer && !completes)
+  if (!is_newer && !is_missing_record)
     return;
   MemberEntry entry = old ? *old : MemberEntry{.id = item.id};
   if (is_newer) {
@@ -239,10 +240,10 @@
 }
 
 void Gossip::ApplySelfUpdate(base::Instant now, const MemberUpdate& item) {
-  const bool is_wrong = item.state != MemberState::kAlive
-                            ? item.incarnation >= incarnation_
-                            : item.incarnation > incarnation_;
-  if (!is_wrong || item.incarnation == UINT64_MAX)
+  const bool is_false_claim = item.state != MemberState::kAlive
+                                  ? item.incarnation >= incarnation_
+                                  : item.incarnation > incarnation_;
+  if (!is_false_claim || item.incarnation == UINT64_MAX)
     return;
   ++counters_.refuted;
   incarnation_ = item.incarnation + 1;
@@ -259,7 +260,7 @@
     return;
   const MemberEntry* sender = table_.Find(message.sender);
   const bool is_due = message.revision > reported_revision_ ||
-                      now - revision_reported_at_ >= kRevisionReminder;
+                      now - revision_reported_at_ >= kRevisionReportInterval;
   if (!is_due || !sender->record)
     return;
   reported_revision_ = std::max(reported_revision_, message.revision);
@@ -286,12 +287,12 @@
   else
     suspicions_.erase(entry.id);
   if (entry.state == MemberState::kLeft) {
-    remove_at_[entry.id] = now + kLeftMemory;
+    remove_at_[entry.id] = now + kLeftRetention;
   } else if (entry.state == MemberState::kGone) {
     remove_at_[entry.id] = now + options_.gone_retention;
   } else if (!entry.IsCurrent()) {
     lacks_records_ = true;
-    remove_at_[entry.id] = now + kRecordPatience;
+    remove_at_[entry.id] = now + kRecordTimeout;
   } else {
     remove_at_.erase(entry.id);
   }
@@ -299,11 +300,11 @@
 
 void Gossip::ReplaceEntry(MemberEntry entry, GossipOutput& output) {
   const MemberEntry* old = table_.Find(entry.id);
-  const bool was_shown = old && old->IsLive() && old->record;
-  const bool is_shown = entry.IsLive() && entry.record;
-  if (was_shown || is_shown) {
+  const bool was_visible = old && old->IsLive() && old->record;
+  const bool is_visible = entry.IsLive() && entry.record;
+  if (was_visible || is_visible) {
     output.changes.push_back(
-        {entry.ToMember(), was_shown ? old->state : MemberState::kGone});
+        {entry.ToMember(), was_visible ? old->state : MemberState::kGone});
   }
   table_.Put(std::move(entry));
 }
--- a/src/libs/membership/gossip.h
+++ b/src/libs/membership/gossip.h
@@ -1,8 +1,8 @@
-// Decides how the nodes of a fleet find and watch each other: SWIM by data
-// centre. Probes go mostly to the own data centre, news are told to a few
-// members at once and repeated on pings and acks, and lasting differences
-// between two views are mended by a pull. docs/design/membership.md explains
-// it.
+// Membership and failure detection between the nodes of a fleet: SWIM, adapted
+// to data centres. Most probes go to the local data centre. Membership updates
+// are sent to a few members at once and then piggybacked on pings and acks, and
+// lasting differences between two views are repaired by a pull.
+// docs/design/membership.md explains the design.
 #ifndef MEMBERSHIP_GOSSIP_H_
 #define MEMBERSHIP_GOSSIP_H_
 
@@ -30,11 +30,11 @@
 
 namespace chestnutport::membership {
 
-// Pure: times and random numbers come in, datagrams come in and go out by
-// value. `records` and `ledger` must outlive the gossip.
+// Does no I/O: times and random numbers are passed in, datagrams are passed in
+// and out by value. `records` and `ledger` must outlive the gossip.
 class Gossip {
  public:
-  // IP and UDP heads, which the budgets count too.
+  // Size of the IP and UDP headers, which count towards the budgets.
   static constexpr size_t kPacketOverhead = 28;
 
   Gossip(const Member& self,
@@ -45,7 +45,7 @@
          const base::Random& random,
          base::Instant now);
 
-  // Does what is due. Call it at NextRun(), or earlier.
+  // Does all work that is due. Must be called at NextRun() or earlier.
   void Run(base::Instant now, GossipOutput& output);
   base::Instant NextRun() const;
 
@@ -54,40 +54,43 @@
                std::string_view datagram,
                GossipOutput& output);
 
-  // Says hello to whoever holds the address, such as a seed.
+  // Pings whichever node has the address, such as a seed.
   void Contact(base::Instant now,
                const base::SocketAddress& address,
                GossipOutput& output);
-  // Changes what this node says of itself; its incarnation and state in
-  // `self` do not matter.
+  // Publishes a changed description of this node; the incarnation and state in
+  // `self` are ignored.
   void Update(base::Instant now, const Member& self, GossipOutput& output);
-  // This node now holds `revision`; lower ones are ignored.
+  // Announces that this node now holds `revision`. Lower revisions than before
+  // are ignored.
   void AnnounceRevision(base::Instant now,
                         uint64_t revision,
                         GossipOutput& output);
-  // The ledger has something new on these requests.
+  // Disseminates new evidence that the ledger holds on these requests.
   void AnnounceEvidence(base::Instant now,
                         std::span<const base::RequestFingerprint> requests,
                         GossipOutput& output);
-  // This node read from the store which data centres are evacuated.
+  // Called when this node has read the evacuated data centres from the store.
   void OnEvacuationsRead(base::Instant now,
                          const evacuation::Evacuations& read,
                          GossipOutput& output);
-  // Tells a few members that this node leaves; the last call.
+  // Announces to a few members that this node leaves. No call may follow.
   void Leave(GossipOutput& output);
 
-  // The answer to another node's pull; empty if the request is no pull.
+  // Returns the response to another node's pull; empty if `request` is
+  // malformed or this node has left.
   std::string AnswerPull(base::Instant now, std::string_view request) const;
   void OnPullResponse(base::Instant now,
-                      std::string_view answer,
+                      std::string_view response,
                       GossipOutput& output);
   void OnPullFailed(base::Instant now);
 
-  // EncodeAll live members whose records are known, this node included.
+  // Returns all live members whose records are known, including this node.
   std::vector<Member> Members() const;
   const MemberTable& table() const { return table_; }
   const GossipCounters& counters() const { return counters_; }
-  // When a member was last heard; nothing: never.
+  // When the last message from another member was received; nothing if none
+  // was.
   std::optional<base::Instant> heard_at() const { return heard_at_; }
   const evacuation::Evacuations& evacuations() const {
     return evacuations_.held();
@@ -95,14 +98,14 @@
   uint64_t incarnation() const { return incarnation_; }
 
  private:
-  // A ping of this node's own that waits for its ack.
+  // A ping of this node that waits for its ack.
   struct Probe {
     base::NodeId target;
     uint32_t sequence;
     base::Instant deadline;
     bool is_indirect;
   };
-  // A ping that was sent for another node.
+  // A ping sent on behalf of another node.
   struct Relay {
     base::NodeId target;
     uint32_t sequence;
@@ -110,10 +113,11 @@
     uint32_t origin_sequence;
     base::Instant deadline;
   };
-  // Where news come from decides whether they are passed on.
+  // Updates that arrive in datagrams are relayed; those that arrive in pulls
+  // are not.
   enum class Source { kDatagram, kPull };
 
-  // gossip.cc: what is known.
+  // gossip.cc: the view of the members.
   void ApplyUpdate(base::Instant now,
                    const MemberUpdate& item,
                    Source source,
@@ -126,18 +130,18 @@
                 base::NodeId id,
                 MemberState state,
                 GossipOutput& output);
-  // Keeps the timers that belong to the entry's state.
+  // Sets or cancels the timers that the state of the entry requires.
   void UpdateTimers(base::Instant now, const MemberEntry& entry);
   void ReplaceEntry(MemberEntry entry, GossipOutput& output);
 
-  // gossip_telling.cc: messages, and telling news.
+  // gossip_telling.cc: building and sending messages.
   void EnqueueUpdate(base::Instant now, base::NodeId id, bool with_record);
   MemberUpdate MakeUpdate(const MemberEntry& entry, bool with_record) const;
   GossipMessage MakeMessage(MessageType type, base::NodeId subject) const;
   void Send(const base::SocketAddress& to,
             const GossipMessage& message,
             GossipOutput& output);
-  // Adds news that are repeated.
+  // Piggybacks updates and evidence that are still to be retransmitted.
   void SendWithUpdates(base::Instant now,
                        const base::SocketAddress& to,
                        GossipMessage message,
@@ -147,7 +151,7 @@
               ByteRateLimiter& budget,
               GossipOutput& output);
 
-  // gossip_evidence.cc: what servers ran when they ended.
+  // gossip_evidence.cc: evidence on requests running at crashes.
   void MergeEvidence(base::Instant now,
                      std::string_view bytes,
                      bool should_relay,
@@ -158,22 +162,21 @@
                        GossipOutput& output);
   void FlushEvidence(base::Instant now, GossipOutput& output);
 
-  // gossip_evacuation.cc: data centres whose servers take no new work.
+  // gossip_evacuation.cc: evacuated data centres, whose servers get no new
+  // work.
   void MergeEvacuations(base::Instant now,
-                        const evacuation::Evacuations& heard,
+                        const evacuation::Evacuations& received,
                         GossipOutput& output);
   void AnnounceEvacuations(base::Instant now, GossipOutput& output);
 
-  // gossip_probing.cc: pings, acks, suspicion.
+  // gossip_probing.cc: pings, acks and suspicion.
   void AnswerPing(base::Instant now,
                   const base::SocketAddress& from,
                   const GossipMessage& ping,
                   bool was_unknown,
                   GossipOutput& output);
   void AddUnlessAlive(base::NodeId id, GossipMessage& message) const;
-  void OnAck(base::Instant now,
-             const GossipMessage& answer,
-             GossipOutput& output);
+  void OnAck(base::Instant now, const GossipMessage& ack, GossipOutput& output);
   void OnPingRequest(base::Instant now,
                      const base::SocketAddress& from,
                      const GossipMessage& request,
@@ -191,16 +194,16 @@
   void RemoveExpired(base::Instant now);
   void CompensateForPause(base::Instant now);
 
-  // gossip_pulling.cc: mending differences.
+  // gossip_pulling.cc: anti-entropy by pulls.
   void CompareDigest(base::Instant now, const GossipMessage& message);
   void CompareEvidence(base::Instant now, const GossipMessage& message);
-  bool EvidenceDiffersFor(base::Duration patience, base::Instant now) const;
+  bool EvidenceDiffersFor(base::Duration grace, base::Instant now) const;
   void PullIfDue(base::Instant now, GossipOutput& output);
   std::vector<base::NodeId> MissingRecords() const;
   void StoreRecord(base::Instant now,
                    std::string_view bytes,
                    GossipOutput& output);
-  void DoubtUnlisted(const PullResponse& answer);
+  void DoubtUnlisted(const PullResponse& response);
 
   GossipOptions options_;
   DatagramAuthenticator authenticator_;
@@ -225,7 +228,8 @@
   unsigned probe_turn_ = 0;
   std::vector<Probe> probes_;
   std::vector<Relay> relays_;
-  // Members that another view lacks: they are probed before it is believed.
+  // Members missing from another view. They are probed before they are believed
+  // to be gone.
   std::vector<base::NodeId> doubted_;
   absl::flat_hash_map<base::NodeId, base::Instant> suspicions_;
   absl::flat_hash_map<base::NodeId, base::Instant> remove_at_;
@@ -233,7 +237,8 @@
   base::Instant next_flush_;
   base::Instant next_sweep_;
 
-  // Members whose evidence differed, the last of them, and when.
+  // The last member whose evidence differed, since when evidence has differed,
+  // and when it last did.
   base::NodeId evidence_from_;
   base::Instant evidence_differs_since_;
   base::Instant evidence_differed_at_;
@@ -242,7 +247,7 @@
   base::Instant diverged_since_;
   bool has_diverged_ = false;
   bool is_pulling_ = false;
-  bool has_joined_ = false;  // A pull was answered.
+  bool has_joined_ = false;  // Whether a pull has been answered.
   bool lacks_records_ = false;
   base::Instant next_pull_;
 };
--- a/src/libs/membership/gossip_evacuation.cc
+++ b/src/libs/membership/gossip_evacuation.cc
@@ -1,4 +1,4 @@
-// SharedEvidence other nodes which data centres are evacuated.
+// Dissemination of the evacuated data centres.
 #include "membership/gossip.h"
 
 namespace chestnutport::membership {
@@ -11,13 +11,14 @@
 }
 
 void Gossip::MergeEvacuations(base::Instant now,
-                              const evacuation::Evacuations& heard,
+                              const evacuation::Evacuations& received,
                               GossipOutput& output) {
-  if (evacuations_.Hear(heard))
+  if (evacuations_.Hear(received))
     AnnounceEvacuations(now, output);
 }
 
-// Each node passes on what is new to it once; every later message repeats it.
+// Each node relays a change once; every later message carries the current
+// state.
 void Gossip::AnnounceEvacuations(base::Instant now, GossipOutput& output) {
   output.evacuations_changed = true;
   budget_.HasTokens(now);
--- a/src/libs/membership/gossip_evidence.cc
+++ b/src/libs/membership/gossip_evidence.cc
@@ -1,4 +1,4 @@
-// SharedEvidence other nodes which requests servers ran when they ended.
+// Dissemination of evidence on requests that were running when servers crashed.
 #include <map>
 #include <string>
 #include <utility>
@@ -8,8 +8,8 @@
 namespace chestnutport::membership {
 namespace {
 
-// Of evidence in a message; other versions read no longer parts.
-constexpr size_t kLargestEvidence = 1000;
+// Bytes of evidence in one message. Other versions reject longer binary fields.
+constexpr size_t kMaxEvidenceSize = 1000;
 
 }  // namespace
 
@@ -19,8 +19,8 @@
     GossipOutput& output) {
   if (has_left_)
     return;
-  // What each collector is to be told.
-  std::map<base::NodeId, std::vector<base::RequestFingerprint>> told;
+  // Requests whose evidence goes to each collector.
+  std::map<base::NodeId, std::vector<base::RequestFingerprint>> by_collector;
   for (const base::RequestFingerprint& request : requests) {
     if (evidence_.IsFleetWide(request)) {
       evidence_.Broadcast(request, now);
@@ -29,10 +29,10 @@
     for (const MemberEntry* collector : table_.PickByRendezvousHash(
              request.value, EvidenceDisseminator::kCollectors)) {
       if (collector->id != self_)
-        told[collector->id].push_back(request);
+        by_collector[collector->id].push_back(request);
     }
   }
-  for (const auto& [collector, part] : told)
+  for (const auto& [collector, part] : by_collector)
     SendToCollector(now, *table_.Find(collector), part, output);
 }
 
@@ -51,8 +51,9 @@
                              std::span<const base::RequestFingerprint> requests,
                              GossipOutput& output) {
   for (std::string& part :
-       evidence_.EncodeInParts(requests, now, kLargestEvidence)) {
-    // Beyond the budget it is left: the next end tells of those that matter.
+       evidence_.EncodeInParts(requests, now, kMaxEvidenceSize)) {
+    // What exceeds the budget is dropped: requests that matter are reported
+    // again with their next crash.
     if (!evidence_.budget().HasTokens(now))
       return;
     GossipMessage message = MakeMessage(MessageType::kUpdate, {});
@@ -70,7 +71,7 @@
   }
   while (evidence_.HasUnsent()) {
     GossipMessage message = MakeMessage(MessageType::kUpdate, {});
-    message.evidence = evidence_.TakeUnsent(now, kLargestEvidence);
+    message.evidence = evidence_.TakeUnsent(now, kMaxEvidenceSize);
     if (message.evidence.empty())
       return;
     FanOut(message, evidence_.budget(), output);
--- a/src/libs/membership/gossip_message.cc
+++ b/src/libs/membership/gossip_message.cc
@@ -10,12 +10,12 @@
 namespace {
 
 constexpr uint32_t kFields = 14;
-// Older versions send so many.
-constexpr uint32_t kLeastFields = 10;
+// Number of fields sent by the oldest versions that are accepted.
+constexpr uint32_t kMinFields = 10;
 constexpr uint32_t kFieldsWithEvidence = 12;
-constexpr size_t kLargestArray = 512;
+constexpr size_t kMaxArraySize = 512;
 
-// From the revision and the names behind it.
+// `fields` points at the revision, which is followed by the names.
 evacuation::Evacuations ReadEvacuations(const msgpack::object* fields) {
   evacuation::Evacuations read{fields[0].as<uint64_t>(),
                                fields[1].as<std::vector<std::string>>()};
@@ -29,10 +29,10 @@
 }  // namespace
 
 size_t GossipMessage::MaxEncodedSize(const MemberUpdate& item) {
-  constexpr size_t kLargestItem = 1 + 9 + 9 + 1 + 5;
-  constexpr size_t kBinaryHead = 3;
-  return kLargestItem +
-         (item.record.empty() ? 0 : kBinaryHead + item.record.size());
+  constexpr size_t kMaxUpdateSize = 1 + 9 + 9 + 1 + 5;
+  constexpr size_t kBinaryHeaderSize = 3;
+  return kMaxUpdateSize +
+         (item.record.empty() ? 0 : kBinaryHeaderSize + item.record.size());
 }
 
 std::string GossipMessage::Encode() const {
@@ -61,8 +61,8 @@
 
 std::optional<GossipMessage> GossipMessage::Decode(std::string_view bytes) {
   try {
-    const auto handle = Unpack(bytes, kLargestArray);
-    const msgpack::object* fields = ReadArray(handle.get(), kLeastFields);
+    const auto handle = Unpack(bytes, kMaxArraySize);
+    const msgpack::object* fields = ReadArray(handle.get(), kMinFields);
     GossipMessage message;
     const auto type = fields[0].as<uint8_t>();
     if (type > static_cast<uint8_t>(MessageType::kUpdate))
@@ -85,8 +85,8 @@
     if (message.sender.value == 0)
       return std::nullopt;
     if (handle.get().via.array.size >= kFieldsWithEvidence) {
-      message.evidence_digest = fields[kLeastFields].as<uint64_t>();
-      message.evidence = ReadBytes(fields[kLeastFields + 1]);
+      message.evidence_digest = fields[kMinFields].as<uint64_t>();
+      message.evidence = ReadBytes(fields[kMinFields + 1]);
     }
     if (handle.get().via.array.size >= kFields)
       message.evacuations = ReadEvacuations(&fields[kFieldsWithEvidence]);
--- a/src/libs/membership/gossip_options.h
+++ b/src/libs/membership/gossip_options.h
@@ -1,5 +1,5 @@
-// The times and sizes of the gossip between nodes; docs/design/membership.md
-// says how each was chosen.
+// Timing and size parameters of the gossip between nodes;
+// docs/design/membership.md explains how each was chosen.
 #ifndef MEMBERSHIP_GOSSIP_OPTIONS_H_
 #define MEMBERSHIP_GOSSIP_OPTIONS_H_
 
@@ -11,43 +11,47 @@
 namespace chestnutport::membership {
 
 struct GossipOptions {
-  // Between two probes of one node.
+  // Interval between the probes that a node sends.
   base::Duration probe_interval = std::chrono::milliseconds(250);
-  // A ping that is not answered in this time is tried through helpers.
+  // A ping that is not acked within this time is retried through other members.
   base::Duration direct_timeout = std::chrono::milliseconds(400);
-  // After this time more, the member is suspected.
+  // A member that has not answered after this additional time is suspected.
   base::Duration indirect_timeout = std::chrono::milliseconds(500);
-  // A suspected member that does not refute it is declared gone.
+  // A suspected member that does not refute the suspicion within this time is
+  // declared gone.
   base::Duration suspicion_timeout = std::chrono::seconds(6);
-  // For how long gone members are remembered and tried again.
+  // How long gone members are kept and pinged again.
   base::Duration gone_retention = std::chrono::minutes(30);
-  // Item that arrive within this time travel on together.
+  // Updates that arrive within this time are sent together.
   base::Duration flush_delay = std::chrono::milliseconds(10);
-  // A difference to others that lasts this long is mended by a pull.
+  // A difference to other views that lasts this long triggers a pull.
   base::Duration divergence_grace = std::chrono::seconds(2);
   base::Duration pull_interval = std::chrono::seconds(5);
   base::Duration fast_pull_interval = std::chrono::milliseconds(700);
-  // Running later than planned by more than this means that the process was
-  // paused, so nothing can be concluded from missing answers.
+  // A run that is later than planned by more than this shows that the process
+  // was paused. Missing acks then say nothing about other members.
   base::Duration pause_threshold = std::chrono::milliseconds(500);
 
-  size_t indirect_probes = 3;  // Asked to probe in this node's place.
-  size_t local_fan_out = 2;    // Members of the own data centre told at once.
-  size_t fleet_fan_out = 1;    // Members of any data centre told at once.
-  int retransmissions = 4;     // Times that news also travel on pings and acks.
-  size_t leave_fan_out = 8;    // Members told by a node that leaves.
-  // Limit on what a node sends beyond the heads of pings and acks.
+  size_t indirect_probes = 3;  // Asked to probe for this node.
+  // Members of the local data centre that an update is first sent to.
+  size_t local_fan_out = 2;
+  // Members of any data centre that an update is first sent to.
+  size_t fleet_fan_out = 1;
+  // How often an update is also piggybacked on pings and acks.
+  int retransmissions = 4;
+  size_t leave_fan_out = 8;  // Notified by a leaving node.
+  // Rate limit of a node, not counting the fixed part of pings and acks.
   size_t bytes_per_second = 5000;
-  // Enough for the news of a start of all of some 300 nodes at once, each of
-  // which is passed on to three members with its record of about 110 bytes.
-  // What does not fit waits, and has to be pulled.
+  // Burst limit. It suffices for a simultaneous start of some 300 nodes, each
+  // of which causes an update that is sent to three members with a record of
+  // about 110 bytes. Updates beyond it are delayed and have to be pulled.
   size_t burst_bytes = 160000;
-  // The same for what nodes tell of servers that ended and what those ran. An
-  // end with 12 requests running costs the node beside the server 4 kB in a
-  // small fleet and 6 kB in a large one, and others nothing.
+  // Rate and burst limits for evidence on crashes. A crash with 12 running
+  // requests costs the node beside the server 4 kB in a small fleet and 6 kB in
+  // a large one, and other nodes nothing.
   size_t evidence_bytes_per_second = 2000;
   size_t evidence_burst_bytes = 20000;
-  // Acks are limited by construction, as another end decides their rate.
+  // Acks have a limit of their own, since their rate is decided by other nodes.
   size_t acks_per_second = 100;
 };
 
--- a/src/libs/membership/gossip_output.h
+++ b/src/libs/membership/gossip_output.h
@@ -1,4 +1,4 @@
-// What the gossip asks its driver to do after each input.
+// Actions that the gossip requests of its driver after each input.
 #ifndef MEMBERSHIP_GOSSIP_OUTPUT_H_
 #define MEMBERSHIP_GOSSIP_OUTPUT_H_
 
@@ -16,8 +16,8 @@
   std::string bytes;
 };
 
-// Call the member's control listener with `request`, and give the answer to
-// Gossip::OnPullResponse(), or tell Gossip::OnPullFailed().
+// A request to be sent to the member's control listener. The driver passes the
+// response to Gossip::OnPullResponse() or calls Gossip::OnPullFailed().
 struct OutgoingPull {
   base::SocketAddress control_address;
   std::string request;
@@ -25,7 +25,7 @@
 
 struct MemberChange {
   Member member;
-  MemberState before = MemberState::kGone;  // kGone: it was not known.
+  MemberState before = MemberState::kGone;  // kGone if it was not known.
 };
 
 struct ReportedRevision {
@@ -38,9 +38,9 @@
   std::vector<OutgoingPull> pulls;
   std::vector<MemberChange> changes;
   std::optional<ReportedRevision> revision;
-  // Something was learnt of requests that servers ran when they ended.
+  // Whether new evidence was received on requests running at crashes.
   bool evidence_changed = false;
-  // Other data centres are evacuated than before, or one is no more.
+  // Whether the set of evacuated data centres has changed.
   bool evacuations_changed = false;
 };
 
--- a/src/libs/membership/gossip_probing.cc
+++ b/src/libs/membership/gossip_probing.cc
@@ -1,4 +1,4 @@
-// Pings and acks, and what follows if they stay out.
+// Pings and acks, and failure detection when acks are missing.
 #include <algorithm>
 #include <utility>
 
@@ -7,11 +7,11 @@
 namespace chestnutport::membership {
 namespace {
 
-constexpr size_t kLargestRelays = 64;
+constexpr size_t kMaxRelays = 64;
 constexpr std::chrono::seconds kSweepInterval(5);
-// How often all members together try each one that is gone or has left, a
-// second: a node that was stopped and started in turn may have nobody to ask.
-constexpr double kTriesPerSecond = 2;
+// How often a second all members together ping each member that is gone or has
+// left. A restarted node may not know any live member to contact.
+constexpr double kAbsentPingsPerSecond = 2;
 
 }  // namespace
 
@@ -23,19 +23,20 @@
   if (!acks_.HasTokens(now))
     return;
   acks_.Consume(1);
-  const bool is_hello = ping.subject.value == 0;
-  const bool is_meant = is_hello || ping.subject == self_;
-  GossipMessage answer =
-      MakeMessage(is_meant ? MessageType::kAck : MessageType::kWrongTarget,
-                  is_meant ? self_ : ping.subject);
-  answer.sequence = ping.sequence;
-  if (was_unknown || is_hello)
-    answer.updates.push_back(MakeUpdate(*table_.Find(self_), true));
-  AddUnlessAlive(ping.sender, answer);
-  SendWithUpdates(now, from, std::move(answer), output);
+  const bool is_join = ping.subject.value == 0;
+  const bool is_addressee = is_join || ping.subject == self_;
+  GossipMessage ack =
+      MakeMessage(is_addressee ? MessageType::kAck : MessageType::kWrongTarget,
+                  is_addressee ? self_ : ping.subject);
+  ack.sequence = ping.sequence;
+  if (was_unknown || is_join)
+    ack.updates.push_back(MakeUpdate(*table_.Find(self_), true));
+  AddUnlessAlive(ping.sender, ack);
+  SendWithUpdates(now, from, std::move(ack), output);
 }
 
-// A member that is not believed to be alive must hear so, to refute it.
+// A member that is not believed to be alive must receive that claim to refute
+// it.
 void Gossip::AddUnlessAlive(base::NodeId id, GossipMessage& message) const {
   const MemberEntry* entry = table_.Find(id);
   if (entry && entry->state != MemberState::kAlive)
@@ -43,34 +44,33 @@
 }
 
 void Gossip::OnAck(base::Instant now,
-                   const GossipMessage& answer,
+                   const GossipMessage& ack,
                    GossipOutput& output) {
-  const auto fits = [&](const auto& waiting) {
-    return waiting.sequence == answer.sequence &&
-           waiting.target == answer.subject;
+  const auto matches = [&](const auto& waiting) {
+    return waiting.sequence == ack.sequence && waiting.target == ack.subject;
   };
-  const auto relay = std::ranges::find_if(relays_, fits);
+  const auto relay = std::ranges::find_if(relays_, matches);
   if (relay != relays_.end()) {
-    GossipMessage passed = MakeMessage(answer.type, answer.subject);
-    passed.sequence = relay->origin_sequence;
-    Send(relay->origin, passed, output);
+    GossipMessage forwarded = MakeMessage(ack.type, ack.subject);
+    forwarded.sequence = relay->origin_sequence;
+    Send(relay->origin, forwarded, output);
     relays_.erase(relay);
   }
-  const auto probe = std::ranges::find_if(probes_, fits);
+  const auto probe = std::ranges::find_if(probes_, matches);
   if (probe == probes_.end())
     return;
   probes_.erase(probe);
-  if (answer.type != MessageType::kWrongTarget)
+  if (ack.type != MessageType::kWrongTarget)
     return;
-  SetState(now, answer.subject, MemberState::kLeft, output);
-  EnqueueUpdate(now, answer.subject, false);
+  SetState(now, ack.subject, MemberState::kLeft, output);
+  EnqueueUpdate(now, ack.subject, false);
 }
 
 void Gossip::OnPingRequest(base::Instant now,
                            const base::SocketAddress& from,
                            const GossipMessage& request,
                            GossipOutput& output) {
-  if (relays_.size() >= kLargestRelays || request.subject.value == 0)
+  if (relays_.size() >= kMaxRelays || request.subject.value == 0)
     return;
   const base::Instant deadline =
       now + options_.direct_timeout + options_.indirect_timeout;
@@ -82,12 +82,13 @@
 }
 
 void Gossip::ProbeNext(base::Instant now, GossipOutput& output) {
-  constexpr unsigned kKinds = 4;
-  const unsigned kind = probe_turn_++ % kKinds;
+  constexpr unsigned kProbeKinds = 4;
+  const unsigned kind = probe_turn_++ % kProbeKinds;
   const bool local = kind < 2 && !table_.local().empty();
-  const bool watches = kind % 2 == 0;
-  const MemberEntry* target = watches ? table_.RingSuccessor(local)
-                                      : table_.NextProbeTarget(local, random_);
+  const bool probes_successor = kind % 2 == 0;
+  const MemberEntry* target = probes_successor
+                                  ? table_.RingSuccessor(local)
+                                  : table_.NextProbeTarget(local, random_);
   if (target)
     StartProbe(now, *target, output);
 }
@@ -119,7 +120,7 @@
 
 void Gossip::PingAbsent(GossipOutput& output) {
   const std::chrono::duration<double> interval = options_.probe_interval;
-  const double chance = kTriesPerSecond * interval.count() *
+  const double chance = kAbsentPingsPerSecond * interval.count() *
                         static_cast<double>(table_.absent()) /
                         static_cast<double>(table_.live() + 1);
   if (std::uniform_real_distribution<>(0, 1)(random_) >= chance)
@@ -130,9 +131,9 @@
   const base::SocketAddress address = absent->record->member.gossip_address;
   if (absent->state == MemberState::kLeft && table_.IsAddressInUse(address))
     return;
-  // Waits for no ack: if the member is there, it refutes that it is gone. If
-  // another took its address, that one says so; it may know nobody yet, and is
-  // told who asks.
+  // No ack is awaited: if the member is there, it refutes the claim that it is
+  // gone. If another node has taken its address, that node reports it; as it
+  // may not know any member yet, the ping carries the record of this node.
   GossipMessage ping = MakeMessage(MessageType::kPing, absent->id);
   ping.sequence = ++last_sequence_;
   ping.updates.push_back(MakeUpdate(*table_.Find(self_), true));
@@ -141,18 +142,18 @@
 }
 
 void Gossip::ExpireProbes(base::Instant now, GossipOutput& output) {
-  std::vector<base::NodeId> silent;
+  std::vector<base::NodeId> unanswered;
   for (Probe& probe : probes_) {
     if (now < probe.deadline)
       continue;
     if (probe.is_indirect)
-      silent.push_back(probe.target);
+      unanswered.push_back(probe.target);
     else
       ProbeIndirectly(now, probe, output);
   }
   std::erase_if(probes_,
                 [&](const Probe& probe) { return now >= probe.deadline; });
-  for (const base::NodeId& id : silent)
+  for (const base::NodeId& id : unanswered)
     Suspect(now, id, output);
 }
 
@@ -165,9 +166,9 @@
   if (!target || !target->record)
     return;
   const base::SocketAddress address = target->record->member.gossip_address;
-  GossipMessage again = MakeMessage(MessageType::kPing, probe.target);
-  again.sequence = probe.sequence;
-  Send(address, again, output);
+  GossipMessage retry = MakeMessage(MessageType::kPing, probe.target);
+  retry.sequence = probe.sequence;
+  Send(address, retry, output);
   GossipMessage request = MakeMessage(MessageType::kPingRequest, probe.target);
   request.sequence = probe.sequence;
   request.address = address;
@@ -220,7 +221,7 @@
   }
 }
 
-// After a pause of this process, missing answers are its own fault.
+// Missing acks after a pause of this process are caused by the pause.
 void Gossip::CompensateForPause(base::Instant now) {
   const base::Instant planned = NextRun();
   if (now <= planned + options_.pause_threshold)
--- a/src/libs/membership/gossip_pulling.cc
+++ b/src/libs/membership/gossip_pulling.cc
@@ -1,4 +1,5 @@
-// Mends lasting differences between two views of the fleet.
+// Anti-entropy: repairs lasting differences between two views of the fleet by
+// pulls.
 #include <algorithm>
 #include <utility>
 
@@ -7,13 +8,13 @@
 namespace chestnutport::membership {
 namespace {
 
-// Records in one answer: about 200 KB.
-constexpr size_t kLargestWanted = 1000;
-constexpr size_t kLargestDoubted = 256;
-// An answer that teaches more than this part of the view, and this many, is
-// followed by another pull soon.
-constexpr size_t kManyNewsPart = 8;
-constexpr size_t kManyNews = 16;
+// Records in one response: about 200 KB.
+constexpr size_t kMaxRequestedRecords = 1000;
+constexpr size_t kMaxDoubted = 256;
+// A response that changes more members than kManyChanges, and more than one in
+// kManyChangesFraction of the view, is soon followed by another pull.
+constexpr size_t kManyChangesFraction = 8;
+constexpr size_t kManyChanges = 16;
 
 }  // namespace
 
@@ -28,8 +29,9 @@
   pull_from_ = message.sender;
 }
 
-// After a healed cut half of the members know what the other half does not.
-// That some know as little as this node is no sign that it knows all.
+// After a partition heals, half of the members have evidence that the other
+// half lacks. Equal digests of some members are therefore no reason to assume
+// that no evidence is missing.
 void Gossip::CompareEvidence(base::Instant now, const GossipMessage& message) {
   const uint64_t own = evidence_.digest();
   if (message.evidence_digest.value_or(own) == own)
@@ -40,10 +42,9 @@
   evidence_from_ = message.sender;
 }
 
-bool Gossip::EvidenceDiffersFor(base::Duration patience,
-                                base::Instant now) const {
-  return now - evidence_differed_at_ < patience &&
-         now - evidence_differs_since_ >= patience;
+bool Gossip::EvidenceDiffersFor(base::Duration grace, base::Instant now) const {
+  return now - evidence_differed_at_ < grace &&
+         now - evidence_differs_since_ >= grace;
 }
 
 void Gossip::PullIfDue(base::Instant now, GossipOutput& output) {
@@ -51,9 +52,9 @@
       has_diverged_ && now - diverged_since_ >= options_.divergence_grace;
   const bool lacks_evidence =
       EvidenceDiffersFor(options_.divergence_grace, now);
-  const bool needs =
+  const bool is_needed =
       lacks_records_ || !has_joined_ || is_lasting || lacks_evidence;
-  if (is_pulling_ || now < next_pull_ || !needs)
+  if (is_pulling_ || now < next_pull_ || !is_needed)
     return;
   const MemberEntry* from =
       table_.Find(lacks_evidence ? evidence_from_ : pull_from_);
@@ -66,24 +67,24 @@
   lacks_records_ = !request.wanted_records.empty();
   is_pulling_ = true;
   ++counters_.pulls;
-  const double part = std::uniform_real_distribution<>(0.5, 1.5)(random_);
+  const double jitter = std::uniform_real_distribution<>(0.5, 1.5)(random_);
   next_pull_ = now + std::chrono::duration_cast<base::Duration>(
-                         part * options_.pull_interval);
+                         jitter * options_.pull_interval);
   output.pulls.push_back(
       {from->record->member.control_address, request.Encode()});
 }
 
 std::vector<base::NodeId> Gossip::MissingRecords() const {
-  std::vector<base::NodeId> wanted_records;
+  std::vector<base::NodeId> missing;
   if (!lacks_records_)
-    return wanted_records;
+    return missing;
   for (const MemberEntry& entry : table_.entries()) {
     if (entry.IsLive() && !entry.IsCurrent())
-      wanted_records.push_back(entry.id);
-    if (wanted_records.size() == kLargestWanted)
+      missing.push_back(entry.id);
+    if (missing.size() == kMaxRequestedRecords)
       break;
   }
-  return wanted_records;
+  return missing;
 }
 
 std::string Gossip::AnswerPull(base::Instant now,
@@ -91,36 +92,37 @@
   const auto request = PullRequest::Decode(bytes);
   if (!request || has_left_)
     return "";
-  PullResponse answer{.sender = self_};
+  PullResponse response{.sender = self_};
   std::array<bool, kViewParts> differs{};
   for (size_t i = 0; i < kViewParts; ++i) {
     differs[i] = request->digests[i] != table_.digests()[i];
     if (differs[i])
-      answer.parts.push_back(static_cast<uint8_t>(i));
+      response.parts.push_back(static_cast<uint8_t>(i));
   }
   for (const MemberEntry& entry : table_.entries()) {
     const bool is_sender = entry.id == request->sender;
     if (is_sender ? entry.state != MemberState::kAlive
                   : entry.IsLive() && differs[MemberTable::PartOf(entry.id)]) {
-      answer.members.push_back(MakeUpdate(entry, false));
+      response.members.push_back(MakeUpdate(entry, false));
     }
   }
   for (const base::NodeId& id : request->wanted_records) {
     const MemberEntry* entry = table_.Find(id);
-    if (entry && entry->record && answer.records.size() < kLargestWanted)
-      answer.records.push_back(entry->record->bytes);
+    if (entry && entry->record &&
+        response.records.size() < kMaxRequestedRecords)
+      response.records.push_back(entry->record->bytes);
   }
   const uint64_t evidence = evidence_.digest();
   if (request->evidence_digest.value_or(evidence) != evidence)
-    answer.evidence = evidence_.EncodeAll(now);
-  return answer.Encode();
+    response.evidence = evidence_.EncodeAll(now);
+  return response.Encode();
 }
 
 void Gossip::OnPullResponse(base::Instant now,
                             std::string_view bytes,
                             GossipOutput& output) {
-  const auto answer = PullResponse::Decode(bytes);
-  if (!answer || has_left_) {
+  const auto response = PullResponse::Decode(bytes);
+  if (!response || has_left_) {
     OnPullFailed(now);
     return;
   }
@@ -128,30 +130,31 @@
   has_joined_ = true;
   has_diverged_ = false;
   const size_t changes_before = output.changes.size();
-  for (const std::string& record : answer->records)
+  for (const std::string& record : response->records)
     StoreRecord(now, record, output);
   const bool got_records = output.changes.size() > changes_before;
   const size_t known_before = table_.entries().size();
-  for (const MemberUpdate& item : answer->members)
+  for (const MemberUpdate& item : response->members)
     ApplyUpdate(now, item, Source::kPull, output);
-  MergeEvidence(now, answer->evidence, false, output);
+  MergeEvidence(now, response->evidence, false, output);
   evidence_differs_since_ = now;
-  DoubtUnlisted(*answer);
-  const size_t learnt = output.changes.size() - changes_before +
-                        table_.entries().size() - known_before;
+  DoubtUnlisted(*response);
+  const size_t changed = output.changes.size() - changes_before +
+                         table_.entries().size() - known_before;
   lacks_records_ = !MissingRecords().empty();
-  if (lacks_records_ && (got_records || learnt > 0)) {
-    pull_from_ = answer->sender;
+  if (lacks_records_ && (got_records || changed > 0)) {
+    pull_from_ = response->sender;
     next_pull_ = now;
     PullIfDue(now, output);
   } else if (lacks_records_ ||
-             learnt > std::max(kManyNews, table_.live() / kManyNewsPart)) {
-    // The one that was asked lacks those records too: another may have them.
+             changed >
+                 std::max(kManyChanges, table_.live() / kManyChangesFraction)) {
+    // The responder lacks those records too, but another member may have them.
     if (lacks_records_)
       pull_from_ = {};
-    const double part = std::uniform_real_distribution<>(0.5, 1.5)(random_);
+    const double jitter = std::uniform_real_distribution<>(0.5, 1.5)(random_);
     next_pull_ = now + std::chrono::duration_cast<base::Duration>(
-                           part * options_.fast_pull_interval);
+                           jitter * options_.fast_pull_interval);
     diverged_since_ = now - options_.divergence_grace;
   }
 }
@@ -175,19 +178,19 @@
   ReplaceEntry(std::move(entry), output);
 }
 
-// What another view lacks is probed before it is believed to be gone: after a
-// healed partition each side lacks many members that are well.
-void Gossip::DoubtUnlisted(const PullResponse& answer) {
+// Members missing from another view are probed before they are believed to be
+// gone: after a partition heals, each side lacks many members that are alive.
+void Gossip::DoubtUnlisted(const PullResponse& response) {
   std::array<bool, kViewParts> differs{};
-  for (const uint8_t part : answer.parts)
+  for (const uint8_t part : response.parts)
     differs[part % kViewParts] = true;
   absl::flat_hash_map<base::NodeId, bool> listed;
-  for (const MemberUpdate& item : answer.members)
+  for (const MemberUpdate& item : response.members)
     listed.emplace(item.id, true);
   for (const MemberEntry& entry : table_.entries()) {
-    if (doubted_.size() >= kLargestDoubted)
+    if (doubted_.size() >= kMaxDoubted)
       return;
-    if (entry.id != self_ && entry.id != answer.sender && entry.record &&
+    if (entry.id != self_ && entry.id != response.sender && entry.record &&
         entry.state == MemberState::kAlive &&
         differs[MemberTable::PartOf(entry.id)] && !listed.contains(entry.id)) {
       doubted_.push_back(entry.id);
--- a/src/libs/membership/gossip_telling.cc
+++ b/src/libs/membership/gossip_telling.cc
@@ -1,4 +1,4 @@
-// Messages: making them, and telling news.
+// Building messages and sending membership updates.
 #include <algorithm>
 #include <utility>
 
@@ -7,12 +7,12 @@
 namespace chestnutport::membership {
 namespace {
 
-// Fits an Ethernet frame, and what the fleet's sockets receive.
-constexpr size_t kLargestDatagram = 1400;
-constexpr size_t kLargestMessage =
-    kLargestDatagram - DatagramAuthenticator::kTagSize;
-// Item on a ping or an ack stay small.
-constexpr size_t kLargestWithNews = 700;
+// Fits an Ethernet frame and the receive limit of the fleet's sockets.
+constexpr size_t kMaxDatagramSize = 1400;
+constexpr size_t kMaxMessageSize =
+    kMaxDatagramSize - DatagramAuthenticator::kTagSize;
+// Limit of pings and acks with piggybacked updates, to keep them small.
+constexpr size_t kMaxPiggybackedSize = 700;
 
 }  // namespace
 
@@ -68,15 +68,16 @@
       return true;
     MemberUpdate item = MakeUpdate(*entry, queued.with_record);
     const size_t added = GossipMessage::MaxEncodedSize(item);
-    if (size + added > kLargestWithNews || !budget_.HasTokens(now))
+    if (size + added > kMaxPiggybackedSize || !budget_.HasTokens(now))
       return false;
     budget_.Consume(added);
     size += added;
     message.updates.push_back(std::move(item));
     return true;
   });
-  if (size < kLargestWithNews)
-    message.evidence = evidence_.TakePiggybacked(now, kLargestWithNews - size);
+  if (size < kMaxPiggybackedSize)
+    message.evidence =
+        evidence_.TakePiggybacked(now, kMaxPiggybackedSize - size);
   Send(to, message, output);
 }
 
@@ -94,7 +95,7 @@
         return true;
       MemberUpdate item = MakeUpdate(*entry, queued.with_record);
       size += GossipMessage::MaxEncodedSize(item);
-      if (size > kLargestMessage)
+      if (size > kMaxMessageSize)
         return false;
       message.updates.push_back(std::move(item));
       return true;
@@ -104,21 +105,22 @@
   next_flush_ = updates_.HasUnsent() ? budget_.NextAvailable() : now;
 }
 
-// The neighbour is always told: as each node does so, news come round the whole
-// data centre, and the random ones only make that fast.
+// The first receiver is always the ring successor. As each node does so, an
+// update reaches the whole data centre along the ring; the random receivers
+// only speed that up.
 void Gossip::FanOut(const GossipMessage& message,
                     ByteRateLimiter& budget,
                     GossipOutput& output) {
-  std::vector<base::NodeId> told;
-  const bool has_near = !table_.local().empty();
+  std::vector<base::NodeId> receivers;
+  const bool has_local = !table_.local().empty();
   const size_t count = options_.local_fan_out + options_.fleet_fan_out;
   for (size_t i = 0; i < count; ++i) {
-    const bool local = i < options_.local_fan_out && has_near;
+    const bool local = i < options_.local_fan_out && has_local;
     const MemberEntry* to =
         i == 0 ? table_.RingSuccessor(local) : table_.PickLive(local, random_);
-    if (!to || std::ranges::find(told, to->id) != told.end())
+    if (!to || std::ranges::find(receivers, to->id) != receivers.end())
       continue;
-    told.push_back(to->id);
+    receivers.push_back(to->id);
     Send(to->record->member.gossip_address, message, output);
     budget.Consume(output.datagrams.back().bytes.size() + kPacketOverhead);
   }
--- a/src/libs/membership/member.h
+++ b/src/libs/membership/member.h
@@ -1,4 +1,4 @@
-// One node of the fleet and the server beside it, as other nodes know them.
+// One node of the fleet and the server beside it, as seen by other nodes.
 #ifndef MEMBERSHIP_MEMBER_H_
 #define MEMBERSHIP_MEMBER_H_
 
@@ -14,17 +14,17 @@
 
 enum class MemberState {
   kAlive,
-  kSuspected,  // Did not answer; declared gone unless it speaks up.
-  kGone,       // Declared gone; may come back with a higher incarnation.
-  kLeft,       // Said itself that it leaves, or another took its address.
+  kSuspected,  // Did not ack a probe; gone unless it refutes this.
+  kGone,       // Declared gone; may return with a higher incarnation.
+  kLeft,       // Announced that it leaves, or another node took its address.
 };
 
-// What a server told its own node.
+// What a server has announced to the node beside it.
 struct ServerAnnouncement {
   std::string service;
   int slots = 1;
   bool draining = false;
-  // Requests a second that it is given while it is cold; zero: it is warm.
+  // Requests per second that it is sent while it is cold; zero if it is warm.
   double cold_rate = 0;
 
   bool operator==(const ServerAnnouncement&) const = default;
@@ -39,13 +39,14 @@
   base::SocketAddress peer_address;
   base::SocketAddress control_address;
   base::SocketAddress operator_address;
-  // Counted up by the node itself with each change of what is said here.
+  // Incremented by the node itself with each change of this description.
   uint64_t incarnation = 0;
   MemberState state = MemberState::kAlive;
-  uint64_t revision = 0;  // Of the configuration it was last known to hold.
-  // It tried to read the platform's store, and was not answered since.
+  uint64_t revision = 0;  // Configuration revision that it is known to hold.
+  // Whether it has tried to read the platform's store without an answer since.
   bool has_lost_store = false;
-  std::optional<ServerAnnouncement> server;  // None: no server is announced.
+  std::optional<ServerAnnouncement>
+      server;  // Nothing if no server is announced.
 
   std::string ToJson() const;
   static std::optional<Member> FromJson(std::string_view text);
--- a/src/libs/membership/member_record.cc
+++ b/src/libs/membership/member_record.cc
@@ -9,7 +9,7 @@
 namespace chestnutport::membership {
 namespace {
 
-// Numbers of the fields; a number is never used again for another meaning.
+// Field numbers. A number is never reused for another meaning.
 enum Field : uint32_t {
   kId = 0,
   kName = 1,
@@ -26,9 +26,9 @@
   kHasLostStore = 12,
 };
 
-constexpr size_t kLargestText = 64;
-constexpr uint32_t kLargestSlots = 100000;
-constexpr double kLargestColdRate = 1e9;
+constexpr size_t kMaxTextSize = 64;
+constexpr uint32_t kMaxSlots = 100000;
+constexpr double kMaxColdRate = 1e9;
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
@@ -37,7 +37,7 @@
   packer.pack(text);
 }
 
-// An address as one number: the IP and the port.
+// Packs the IP address and the port into one number.
 void PackAddress(Packer& packer,
                  Field field,
                  const base::SocketAddress& address) {
@@ -47,7 +47,7 @@
 
 std::string ReadText(const msgpack::object& value) {
   auto text = value.as<std::string>();
-  if (text.size() > kLargestText)
+  if (text.size() > kMaxTextSize)
     throw msgpack::type_error();
   return text;
 }
@@ -68,14 +68,14 @@
 
 int ReadSlots(const msgpack::object& value) {
   const auto slots = value.as<uint32_t>();
-  if (slots > kLargestSlots)
+  if (slots > kMaxSlots)
     throw msgpack::type_error();
   return static_cast<int>(slots);
 }
 
 double ReadColdRate(const msgpack::object& value) {
   const auto rate = value.as<double>();
-  if (!(rate >= 0 && rate <= kLargestColdRate))
+  if (!(rate >= 0 && rate <= kMaxColdRate))
     throw msgpack::type_error();
   return rate;
 }
@@ -122,7 +122,7 @@
       member.has_lost_store = value.as<bool>();
       break;
     default:
-      break;  // Of a newer version; kept in the bytes.
+      break;  // Written by a newer version; preserved in the bytes.
   }
 }
 
--- a/src/libs/membership/member_record.h
+++ b/src/libs/membership/member_record.h
@@ -1,6 +1,6 @@
-// What a node says of itself, in the form in which it travels. Only the node
-// itself writes its record; others pass the bytes on unchanged, so fields that
-// an older node does not know survive.
+// The description that a node publishes of itself, in encoded form. Only the
+// node itself writes its record. Other nodes relay the bytes unchanged, so that
+// fields unknown to an older node are preserved.
 #ifndef MEMBERSHIP_MEMBER_RECORD_H_
 #define MEMBERSHIP_MEMBER_RECORD_H_
 
@@ -14,7 +14,7 @@
 namespace chestnutport::membership {
 
 struct MemberRecord {
-  // Longer records are not accepted: several must fit one datagram.
+  // Longer records are rejected, so that several fit one datagram.
   static constexpr size_t kMaxSize = 512;
 
   Member member;  // Without incarnation, state and revision.
@@ -23,7 +23,7 @@
 
   static uint32_t Hash(std::string_view bytes);
   static MemberRecord Encode(const Member& member);
-  // None if the bytes are no record.
+  // Returns nothing if the bytes are not a valid record.
   static std::optional<MemberRecord> Decode(std::string_view bytes);
 };
 
--- a/src/libs/membership/member_table.cc
+++ b/src/libs/membership/member_table.cc
@@ -10,14 +10,14 @@
 namespace chestnutport::membership {
 namespace {
 
-// Tries to find a fitting entry by chance before giving up.
-constexpr int kTries = 32;
+// Random picks before a search for a matching entry is given up.
+constexpr int kMaxPickAttempts = 32;
 
 uint64_t DigestOf(const MemberEntry& entry) {
-  const std::array<uint64_t, 4> said = {entry.id.value, entry.incarnation,
-                                        entry.hash,
-                                        static_cast<uint64_t>(entry.state)};
-  return XXH3_64bits(said.data(), sizeof(said));
+  const std::array<uint64_t, 4> fields = {entry.id.value, entry.incarnation,
+                                          entry.hash,
+                                          static_cast<uint64_t>(entry.state)};
+  return XXH3_64bits(fields.data(), sizeof(fields));
 }
 
 size_t PickIndex(size_t size, base::Random& random) {
@@ -112,7 +112,7 @@
   if (local)
     return local_.empty() ? nullptr
                           : Find(local_[PickIndex(local_.size(), random)]);
-  for (int i = 0; i < kTries && live_ > 0; ++i) {
+  for (int i = 0; i < kMaxPickAttempts && live_ > 0; ++i) {
     const MemberEntry& entry = entries_[PickIndex(entries_.size(), random)];
     if (IsTarget(entry))
       return &entry;
@@ -183,8 +183,9 @@
   return nullptr;
 }
 
-// Views that were pulled have the same order in all nodes, so each node begins
-// its round elsewhere: else all would probe the same member at a time.
+// Pulled views list the members in the same order on all nodes, so each node
+// starts its round at a random position. Otherwise all nodes would probe the
+// same member at a time.
 const MemberEntry* MemberTable::NextInFleet(base::Random& random) {
   if (!std::exchange(has_fleet_position_, live_ > 0))
     fleet_position_ = PickIndex(entries_.size(), random);
@@ -199,7 +200,7 @@
 
 const MemberEntry* MemberTable::RingSuccessor(bool local) const {
   const MemberEntry* next = nullptr;
-  // The distance from this node around the ring of identities.
+  // Compares distances from this node along the ring of ids.
   const auto consider = [&](const MemberEntry& entry) {
     if (!IsTarget(entry) || entry.state != MemberState::kAlive)
       return;
--- a/src/libs/membership/member_table.h
+++ b/src/libs/membership/member_table.h
@@ -1,5 +1,5 @@
-// EncodeAll members that one node knows, itself included. A member is live if
-// it is alive or suspected.
+// All members known to one node, including itself. A member is live if it is
+// alive or suspected.
 #ifndef MEMBERSHIP_MEMBER_TABLE_H_
 #define MEMBERSHIP_MEMBER_TABLE_H_
 
@@ -19,14 +19,14 @@
 struct MemberEntry {
   base::NodeId id;
   uint64_t incarnation = 0;
-  uint64_t revision = 0;  // Of the configuration it was last heard to hold.
-  SharedRecord record;    // Null until it was received.
-  uint32_t hash = 0;      // Of the newest record, received or not.
+  uint64_t revision = 0;  // Configuration revision that it last reported.
+  SharedRecord record;    // Null until received.
+  uint32_t hash = 0;      // Of the newest record, whether received or not.
   MemberState state = MemberState::kAlive;
 
   bool IsLive() const { return state <= MemberState::kSuspected; }
   bool IsCurrent() const { return record && record->hash == hash; }
-  // The member as users see it; only with a record.
+  // Returns the member as shown outside of the gossip. Requires a record.
   Member ToMember() const;
 };
 
@@ -37,36 +37,40 @@
   const MemberEntry* Find(base::NodeId id) const;
   const std::vector<MemberEntry>& entries() const { return entries_; }
 
-  // Replaces the entry of the same id, or adds one.
+  // Replaces the entry with the same id, or adds one.
   void Put(MemberEntry entry);
   void Remove(base::NodeId id);
-  // Changes neither counts nor digests.
+  // Affects neither totals nor digests.
   void SetRevision(base::NodeId id, uint64_t revision);
 
-  // Live members with a record, without this node.
+  // Number of live members with a record, without this node.
   size_t live() const { return live_; }
-  // Members with a record that are gone or have left.
+  // Number of members with a record that are gone or have left.
   size_t absent() const { return absent_; }
-  // Of those, the ones in this node's data centre.
+  // The live members with a record in this node's data centre, without this
+  // node.
   const std::vector<base::NodeId>& local() const { return local_; }
 
-  // Each is null if there is no such member.
-  // A random live member; `near` keeps to this node's data centre.
+  // The functions below return null if there is no such member. Returns a
+  // random live member, if `local` from this node's data centre.
   const MemberEntry* PickLive(bool local, base::Random& random) const;
   const MemberEntry* PickAbsent(base::Random& random) const;
-  // Whether a live member is known to be reached at the address.
+  // Returns whether a live member has this gossip address.
   bool IsAddressInUse(const base::SocketAddress& gossip_address) const;
-  // The live members, this node included, that have the highest rendezvous
-  // hashes for `key`; nearly the same in views that differ a little.
+  // Returns the `count` live members, this node included, with the highest
+  // rendezvous hashes for `key`. Views that differ a little give nearly the
+  // same members.
   std::vector<const MemberEntry*> PickByRendezvousHash(uint64_t key,
                                                        size_t count) const;
-  // The next member of a round through all that are not suspected.
+  // Returns the next member to probe in a round through all members that are
+  // not suspected.
   const MemberEntry* NextProbeTarget(bool local, base::Random& random);
-  // The member after this node in the order of identities that is not
-  // suspected: this node is the one that watches it all the time.
+  // Returns the member that follows this node in the ring of ids and is not
+  // suspected. This node probes it continuously.
   const MemberEntry* RingSuccessor(bool local) const;
 
-  // Of all live members, whole and by parts; equal if two views are.
+  // Digests of all live members, in total and by part of the view; equal if two
+  // views are equal.
   uint64_t digest() const { return digest_; }
   const ViewDigests& digests() const { return digests_; }
   static uint8_t PartOf(base::NodeId id);
@@ -76,7 +80,7 @@
 
   bool IsTarget(const MemberEntry& entry) const;
   static bool IsAbsent(const MemberEntry& entry);
-  // Adds an entry to the counts and digests, or takes it out.
+  // Adds the entry to the totals and digests (`sign` 1) or removes it (-1).
   void UpdateTotals(const MemberEntry& entry, int sign);
   const MemberEntry* NextLocal(base::Random& random);
   const MemberEntry* NextInFleet(base::Random& random);
--- a/src/libs/membership/member_update.h
+++ b/src/libs/membership/member_update.h
@@ -1,4 +1,4 @@
-// One statement about one member, as it travels.
+// A membership update in its transmitted form: the state of one member.
 #ifndef MEMBERSHIP_MEMBER_UPDATE_H_
 #define MEMBERSHIP_MEMBER_UPDATE_H_
 
@@ -15,7 +15,7 @@
   uint64_t incarnation = 0;
   MemberState state = MemberState::kAlive;
   uint32_t hash = 0;   // Of the member's record.
-  std::string record;  // Its bytes; empty: left out.
+  std::string record;  // Encoded record; empty if it is left out.
 
   bool operator==(const MemberUpdate&) const = default;
 };
--- a/src/libs/membership/member_update_codec.h
+++ b/src/libs/membership/member_update_codec.h
@@ -1,4 +1,4 @@
-// The MessagePack form of news, shared by datagrams and pulls.
+// MessagePack encoding of membership updates, for datagrams and pulls.
 #ifndef MEMBERSHIP_MEMBER_UPDATE_CODEC_H_
 #define MEMBERSHIP_MEMBER_UPDATE_CODEC_H_
 
@@ -31,7 +31,8 @@
   return {object.via.bin.ptr, object.via.bin.size};
 }
 
-// The elements of an array of at least `least`; throws msgpack::type_error.
+// Returns the elements of an array of at least `least`; throws
+// msgpack::type_error otherwise.
 inline const msgpack::object* ReadArray(const msgpack::object& object,
                                         uint32_t least) {
   if (object.type != msgpack::type::ARRAY || object.via.array.size < least)
@@ -39,7 +40,7 @@
   return object.via.array.ptr;
 }
 
-// Throws msgpack::type_error.
+// Throws msgpack::type_error if the object is malformed.
 inline MemberUpdate ReadUpdate(const msgpack::object& object) {
   const msgpack::object* fields = ReadArray(object, kUpdateFields);
   MemberUpdate item;
@@ -55,10 +56,10 @@
   return item;
 }
 
-// Bytes of a text or of a binary part.
+// Limit in bytes of a string or binary field.
 inline constexpr size_t kMaxPartSize = 1024;
 
-// Parts refer to the input, which must outlive the handle.
+// The result refers to `bytes`, which must outlive it.
 inline msgpack::object_handle Unpack(std::string_view bytes,
                                      size_t largest_array,
                                      size_t largest_part = kMaxPartSize) {
--- a/src/libs/membership/pull_message.cc
+++ b/src/libs/membership/pull_message.cc
@@ -11,13 +11,13 @@
 namespace {
 
 constexpr uint32_t kRequestFields = 4;
-constexpr uint32_t kAnswerFields = 5;
-// Older versions send so many.
-constexpr uint32_t kLeastRequestFields = 3;
-constexpr uint32_t kLeastAnswerFields = 4;
-constexpr size_t kLargestArray = 16384;
+constexpr uint32_t kResponseFields = 5;
+// Number of fields sent by older versions.
+constexpr uint32_t kMinRequestFields = 3;
+constexpr uint32_t kMinResponseFields = 4;
+constexpr size_t kMaxArraySize = 16384;
 
-constexpr size_t kLargestEvidence =
+constexpr size_t kMaxEvidenceSize =
     quarantine::CrashLedger::kMaxSharedRequests * quarantine::kMaxEncodedSize +
     16;
 
@@ -44,9 +44,8 @@
 
 std::optional<PullRequest> PullRequest::Decode(std::string_view bytes) {
   try {
-    const auto handle = Unpack(bytes, kLargestArray);
-    const msgpack::object* fields =
-        ReadArray(handle.get(), kLeastRequestFields);
+    const auto handle = Unpack(bytes, kMaxArraySize);
+    const msgpack::object* fields = ReadArray(handle.get(), kMinRequestFields);
     PullRequest request;
     request.sender.value = fields[0].as<uint64_t>();
     const msgpack::object* digests = ReadArray(fields[1], kViewParts);
@@ -56,7 +55,7 @@
     for (uint32_t i = 0; i < fields[2].via.array.size; ++i)
       request.wanted_records.push_back({wanted_records[i].as<uint64_t>()});
     if (handle.get().via.array.size >= kRequestFields)
-      request.evidence_digest = fields[kLeastRequestFields].as<uint64_t>();
+      request.evidence_digest = fields[kMinRequestFields].as<uint64_t>();
     return request;
   } catch (const std::exception&) {
     return std::nullopt;
@@ -66,7 +65,7 @@
 std::string PullResponse::Encode() const {
   msgpack::sbuffer buffer;
   msgpack::packer<msgpack::sbuffer> packer(buffer);
-  packer.pack_array(kAnswerFields);
+  packer.pack_array(kResponseFields);
   packer.pack(sender.value);
   packer.pack_array(static_cast<uint32_t>(parts.size()));
   for (const uint8_t part : parts)
@@ -86,22 +85,22 @@
 
 std::optional<PullResponse> PullResponse::Decode(std::string_view bytes) {
   try {
-    const auto handle = Unpack(bytes, kLargestArray, kLargestEvidence);
-    const msgpack::object* fields = ReadArray(handle.get(), kLeastAnswerFields);
-    PullResponse answer;
-    answer.sender.value = fields[0].as<uint64_t>();
+    const auto handle = Unpack(bytes, kMaxArraySize, kMaxEvidenceSize);
+    const msgpack::object* fields = ReadArray(handle.get(), kMinResponseFields);
+    PullResponse response;
+    response.sender.value = fields[0].as<uint64_t>();
     const msgpack::object* parts = ReadArray(fields[1], 0);
     for (uint32_t i = 0; i < fields[1].via.array.size; ++i)
-      answer.parts.push_back(parts[i].as<uint8_t>());
+      response.parts.push_back(parts[i].as<uint8_t>());
     const msgpack::object* members = ReadArray(fields[2], 0);
     for (uint32_t i = 0; i < fields[2].via.array.size; ++i)
-      answer.members.push_back(ReadUpdate(members[i]));
+      response.members.push_back(ReadUpdate(members[i]));
     const msgpack::object* records = ReadArray(fields[3], 0);
     for (uint32_t i = 0; i < fields[3].via.array.size; ++i)
-      answer.records.emplace_back(ReadBytes(records[i]));
-    if (handle.get().via.array.size >= kAnswerFields)
-      answer.evidence = ReadBytes(fields[kLeastAnswerFields]);
-    return answer;
+      response.records.emplace_back(ReadBytes(records[i]));
+    if (handle.get().via.array.size >= kResponseFields)
+      response.evidence = ReadBytes(fields[kMinResponseFields]);
+    return response;
   } catch (const std::exception&) {
     return std::nullopt;
   }
--- a/src/libs/membership/pull_message.h
+++ b/src/libs/membership/pull_message.h
@@ -1,5 +1,6 @@
-// Mends differences between two views of the fleet: one node sends the digests
-// of its view, part by part, the other answers with the parts that differ.
+// Messages that repair differences between two views of the fleet: one node
+// sends the digests of the parts of its view, the other responds with the parts
+// that differ.
 #ifndef MEMBERSHIP_PULL_MESSAGE_H_
 #define MEMBERSHIP_PULL_MESSAGE_H_
 
@@ -15,7 +16,7 @@
 
 namespace chestnutport::membership {
 
-// A view is divided by the highest bits of the members' identities.
+// A view is divided into parts by the highest bits of the member ids.
 inline constexpr size_t kViewParts = 64;
 inline constexpr int kViewPartShift = 58;
 using ViewDigests = std::array<uint64_t, kViewParts>;
@@ -24,7 +25,7 @@
   base::NodeId sender;
   ViewDigests digests{};
   std::vector<base::NodeId>
-      wanted_records;  // Members whose records are asked for.
+      wanted_records;  // Members whose records are requested.
   // See GossipMessage.
   std::optional<uint64_t> evidence_digest;
 
@@ -34,10 +35,12 @@
 
 struct PullResponse {
   base::NodeId sender;
-  std::vector<uint8_t> parts;         // Those that differ.
-  std::vector<MemberUpdate> members;  // EncodeAll live members in those parts.
-  std::vector<std::string> records;   // Of the wanted members, as bytes.
-  std::string evidence;  // If the digests differ; see GossipMessage.
+  std::vector<uint8_t> parts;         // Parts that differ.
+  std::vector<MemberUpdate> members;  // All live members in those parts.
+  std::vector<std::string>
+      records;  // Encoded records of the requested members.
+  std::string
+      evidence;  // Set if the evidence digests differ; see GossipMessage.
 
   std::string Encode() const;
   static std::optional<PullResponse> Decode(std::string_view bytes);
--- a/src/libs/membership/record_cache.h
+++ b/src/libs/membership/record_cache.h
@@ -10,12 +10,12 @@
 
 namespace chestnutport::membership {
 
-// The cache and the member table hold the same record.
+// Shared by the cache and the member table.
 using SharedRecord = std::shared_ptr<const MemberRecord>;
 
 class RecordCache {
  public:
-  // The record of `bytes`; null if they are none.
+  // Returns the decoded record, or null if `bytes` are not a valid record.
   SharedRecord Intern(std::string_view bytes);
 
   size_t size() const { return records_.size(); }
--- a/src/libs/membership/update_queue.h
+++ b/src/libs/membership/update_queue.h
@@ -1,4 +1,4 @@
-// What a node has still to pass on.
+// Updates that a node has still to transmit.
 #ifndef MEMBERSHIP_UPDATE_QUEUE_H_
 #define MEMBERSHIP_UPDATE_QUEUE_H_
 
@@ -8,14 +8,14 @@
 
 namespace chestnutport::membership {
 
-// One piece of news names what it is about, a member or a request; what is said
-// of it is looked up when it is sent, so that it is the newest.
+// Identifies the member or the request that an update is about. The content is
+// looked up when the update is sent, so that it is current.
 template <typename Subject>
 struct QueuedUpdate {
   Subject id;
-  int retransmissions = 0;   // Times that it still travels.
-  bool with_record = false;  // A member's record is part of the update.
-  bool is_unsent = true;     // Not yet sent to the members told at once.
+  int retransmissions = 0;   // How often it is still to be piggybacked.
+  bool with_record = false;  // Whether the member's record is sent along.
+  bool is_unsent = true;     // Not yet sent by the first fan-out.
 };
 
 template <typename Subject>
@@ -23,19 +23,20 @@
  public:
   using Item = QueuedUpdate<Subject>;
 
-  // More is left to pulls: the oldest news are dropped.
+  // When the queue is full, the oldest updates are dropped; other nodes get
+  // them by pulls.
   static constexpr size_t kCapacity = 1024;
 
   void Push(const Subject& id, bool with_record, int retransmissions);
   bool HasUnsent() const { return unsent_ > 0; }
   bool empty() const { return updates_.empty(); }
 
-  // Calls `take(update)` for each fresh piece until it returns false; those
-  // taken are fresh no longer.
+  // Calls `take(update)` for each unsent update until it returns false, and
+  // marks those taken as sent.
   template <typename Take>
   void TakeUnsent(Take take);
-  // Calls `take(update)` for pieces by turns until it returns false; each one
-  // taken has one repeat less.
+  // Calls `take(update)` for updates in turn until it returns false. Each one
+  // taken has one retransmission less.
   template <typename Take>
   void TakePiggybacked(Take take);
 
--- a/tests/auto/membership/evidence_spread_test.cc
+++ b/tests/auto/membership/evidence_spread_test.cc
@@ -1,5 +1,5 @@
-// How soon all nodes know that a request is in quarantine, what that costs
-// them, and what holds for nodes that were not there.
+// How soon all nodes know that a request is quarantined, what that costs them,
+// and what nodes that were absent learn.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -13,21 +13,22 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr RequestFingerprint kGuilty{7};
+constexpr RequestFingerprint kPoison{7};
 constexpr milliseconds kRun(90);
-// What a node sends at rest, at most, and for this: bounds by construction.
-constexpr double kBytesAtRest = 1000;
+// Upper bounds of what a node sends while nothing happens, and of the rate and
+// the burst of evidence.
+constexpr double kIdleBytes = 1000;
 constexpr double kEvidenceBytes = 2000;
 constexpr double kEvidenceBurst = 20000;
-// In which all nodes have to know: the aim gives 3 s from the third end to the
-// moment from which on what they send counts.
-constexpr seconds kTimeToHear(3);
+// Time in which all nodes have to know the third crash; crashes after that
+// count against the aim.
+constexpr seconds kPropagationTime(3);
 
 Verdict VerdictAt(test::GossipFleet& fleet, size_t slot) {
-  return fleet.ledger(slot).VerdictOf(kGuilty, fleet.now()).verdict;
+  return fleet.ledger(slot).VerdictOf(kPoison, fleet.now()).verdict;
 }
 
-bool AllHold(test::GossipFleet& fleet) {
+bool AllQuarantine(test::GossipFleet& fleet) {
   for (size_t slot = 0; slot < fleet.size(); ++slot) {
     if (fleet.IsUp(slot) && VerdictAt(fleet, slot) != Verdict::kQuarantined)
       return false;
@@ -35,10 +36,11 @@
   return true;
 }
 
-// The servers beside `slots` end with the request alone, 100 ms apart.
-void EndWithIt(test::GossipFleet& fleet, std::vector<size_t> slots) {
+// Crashes the servers beside `slots`, which run only the poison request, 100 ms
+// apart.
+void CrashWithPoison(test::GossipFleet& fleet, std::vector<size_t> slots) {
   for (const size_t slot : slots) {
-    fleet.CrashServer(slot, 1, {{kGuilty, kRun, true}});
+    fleet.CrashServer(slot, 1, {{kPoison, kRun, true}});
     fleet.RunFor(milliseconds(100));
   }
 }
@@ -47,8 +49,8 @@
   return std::chrono::duration_cast<milliseconds>(fleet.now() - when).count();
 }
 
-// Bytes that a node sent in a second on the mean, since `when`, when `before`
-// had been sent.
+// Returns the mean bytes per second that a node sent since `when`, when
+// `before` had been sent.
 double Rate(const test::GossipFleet& fleet,
             const test::GossipTraffic& before,
             base::Instant when) {
@@ -59,41 +61,43 @@
          std::chrono::duration<double>(fleet.now() - when).count();
 }
 
-TEST_CASE("all nodes know soon that a request is in quarantine") {
+TEST_CASE("all nodes learn soon that a request is quarantined") {
   const size_t members = GENERATE(size_t{30}, size_t{295}, size_t{3000});
   CAPTURE(members);
   test::GossipFleet fleet({.members = members, .seed = 11});
   fleet.RunFor(seconds(1));
-  EndWithIt(fleet, {1, members / 2});
+  CrashWithPoison(fleet, {1, members / 2});
   const test::GossipTraffic before = fleet.traffic();
   const base::Instant third = fleet.now();
-  fleet.CrashServer(members - 1, 1, {{kGuilty, kRun, true}});
-  CHECK(fleet.RunUntil([&] { return AllHold(fleet); }, kTimeToHear));
-  INFO(members << " nodes: known at all after "
+  fleet.CrashServer(members - 1, 1, {{kPoison, kRun, true}});
+  CHECK(fleet.RunUntil([&] { return AllQuarantine(fleet); }, kPropagationTime));
+  INFO(members << " nodes: known to all after "
                << MillisecondsSince(fleet, third) << " ms");
   fleet.RunFor(seconds(10));
-  INFO("in the ten seconds after it " << Rate(fleet, before, third)
-                                      << " B/s a node");
+  INFO("in the ten seconds after that " << Rate(fleet, before, third)
+                                        << " B/s a node");
 }
 
-TEST_CASE("and no less soon while datagrams are lost") {
+TEST_CASE("all nodes learn as soon while datagrams are lost") {
   test::GossipFleet fleet({.members = 295, .seed = 12, .loss = 0.05});
   fleet.RunFor(seconds(1));
-  EndWithIt(fleet, {1, 150, 290});
-  CHECK(fleet.RunUntil([&] { return AllHold(fleet); }, kTimeToHear));
+  CrashWithPoison(fleet, {1, 150, 290});
+  CHECK(fleet.RunUntil([&] { return AllQuarantine(fleet); }, kPropagationTime));
 }
 
-TEST_CASE("and while servers end with ever different requests") {
-  // Ten a second of 295 servers, each with twelve requests: of those that are
-  // marked, none is heard of twice.
+TEST_CASE(
+    "all nodes learn as soon while servers crash with ever different "
+    "requests") {
+  // Ten of 295 servers crash each second, each with twelve requests of which
+  // none occurs twice.
   constexpr size_t kMembers = 295;
-  constexpr int kEnds = 200;
+  constexpr int kCrashes = 200;
   test::GossipFleet fleet({.members = kMembers, .seed = 13});
   fleet.RunFor(seconds(1));
   const test::GossipTraffic before = fleet.traffic();
   const base::Instant begin = fleet.now();
   uint64_t other = 1000;
-  const auto end_another = [&](int i) {
+  const auto crash_another = [&](int i) {
     std::vector<quarantine::RunningRequest> running;
     for (int request = 0; request < 12; ++request)
       running.push_back({{++other}, kRun});
@@ -101,52 +105,53 @@
                       static_cast<uint32_t>(10 + i), running);
     fleet.RunFor(milliseconds(100));
   };
-  for (int i = 0; i < kEnds; ++i)
-    end_another(i);
-  EndWithIt(fleet, {1, 150, 290});
+  for (int i = 0; i < kCrashes; ++i)
+    crash_another(i);
+  CrashWithPoison(fleet, {1, 150, 290});
   const base::Instant third = fleet.now();
-  CHECK(fleet.RunUntil([&] { return AllHold(fleet); }, kTimeToHear));
-  INFO("among 10 ends a second: known at all after "
+  CHECK(fleet.RunUntil([&] { return AllQuarantine(fleet); }, kPropagationTime));
+  INFO("with 10 crashes a second: known to all after "
        << MillisecondsSince(fleet, third) << " ms, at "
        << Rate(fleet, before, begin) << " B/s a node");
 
-  SECTION("for a bounded number of bytes") {
+  SECTION("the bytes sent are bounded") {
     CHECK(Rate(fleet, before, begin) <
-          kBytesAtRest + kEvidenceBytes + kEvidenceBurst / 20);
+          kIdleBytes + kEvidenceBytes + kEvidenceBurst / 20);
   }
-  SECTION("and of memory") {
+  SECTION("the memory used is bounded") {
     for (size_t slot = 0; slot < kMembers; ++slot) {
       CHECK(fleet.ledger(slot).size() <= quarantine::CrashLedger::kMaxRequests);
     }
   }
 }
 
-TEST_CASE("nodes that saw the ends may be gone at once") {
+TEST_CASE("the nodes that saw the crashes fail right after them") {
   const size_t members = GENERATE(size_t{30}, size_t{295});
   test::GossipFleet fleet({.members = members, .seed = 17});
   fleet.RunFor(seconds(1));
   for (const size_t slot : {size_t{1}, members / 2, members - 1}) {
-    fleet.CrashServer(slot, 1, {{kGuilty, kRun, true}});
+    fleet.CrashServer(slot, 1, {{kPoison, kRun, true}});
     fleet.RunFor(milliseconds(30));
     fleet.Kill(slot);
     fleet.RunFor(milliseconds(100));
   }
-  CHECK(fleet.RunUntil([&] { return AllHold(fleet); }, kTimeToHear));
+  CHECK(fleet.RunUntil([&] { return AllQuarantine(fleet); }, kPropagationTime));
 }
 
-TEST_CASE("a node that was not there hears of it too") {
+TEST_CASE("a node that was absent learns of the quarantine") {
   constexpr size_t kMembers = 30;
   constexpr size_t kAbsent = 4;
   test::GossipFleet fleet({.members = kMembers, .seed = 14});
   fleet.RunFor(seconds(1));
 
-  SECTION("one that starts, with the first that it learns of the fleet") {
-    EndWithIt(fleet, {1, 7, 15, 29});
-    REQUIRE(fleet.RunUntil([&] { return AllHold(fleet); }, kTimeToHear));
+  SECTION("a starting node learns of it when it joins") {
+    CrashWithPoison(fleet, {1, 7, 15, 29});
+    REQUIRE(
+        fleet.RunUntil([&] { return AllQuarantine(fleet); }, kPropagationTime));
     fleet.Start(kAbsent, 9);
-    CHECK(fleet.RunUntil([&] { return AllHold(fleet); }, seconds(1)));
+    CHECK(fleet.RunUntil([&] { return AllQuarantine(fleet); }, seconds(1)));
   }
-  SECTION("one that was frozen, and one that was cut off") {
+  SECTION("a node that was frozen or partitioned learns of it afterwards") {
     const bool is_frozen = GENERATE(true, false);
     if (is_frozen)
       fleet.Freeze(kAbsent);
@@ -155,33 +160,34 @@
         return (from == kAbsent) != (to == kAbsent);
       });
     fleet.RunFor(seconds(2));
-    EndWithIt(fleet, {1, 7, 15, 29});
+    CrashWithPoison(fleet, {1, 7, 15, 29});
     fleet.RunFor(seconds(10));
     CHECK(VerdictAt(fleet, kAbsent) == Verdict::kFree);
     if (is_frozen)
       fleet.Resume(kAbsent);
     else
       fleet.Partition(nullptr);
-    CHECK(fleet.RunUntil([&] { return AllHold(fleet); }, seconds(8)));
+    CHECK(fleet.RunUntil([&] { return AllQuarantine(fleet); }, seconds(8)));
   }
-  SECTION("each side of a cut tells the other what it saw") {
+  SECTION("both sides of a partition exchange their evidence") {
     fleet.Partition(
         [](size_t from, size_t to) { return (from < 15) != (to < 15); });
-    EndWithIt(fleet, {1, 16, 29, 20, 18});
+    CrashWithPoison(fleet, {1, 16, 29, 20, 18});
     fleet.RunFor(seconds(10));
     CHECK(VerdictAt(fleet, 0) == Verdict::kFree);
     CHECK(VerdictAt(fleet, 20) == Verdict::kQuarantined);
     fleet.Partition(nullptr);
-    CHECK(fleet.RunUntil([&] { return AllHold(fleet); }, seconds(20)));
+    CHECK(fleet.RunUntil([&] { return AllQuarantine(fleet); }, seconds(20)));
   }
 }
 
-TEST_CASE("that a request is free again is heard as soon") {
+TEST_CASE("all nodes learn as soon that a request is free again") {
   test::GossipFleet fleet({.members = 295, .seed = 15});
   fleet.RunFor(seconds(1));
-  EndWithIt(fleet, {1, 150, 290});
-  REQUIRE(fleet.RunUntil([&] { return AllHold(fleet); }, kTimeToHear));
-  fleet.Refute(40, kGuilty);
+  CrashWithPoison(fleet, {1, 150, 290});
+  REQUIRE(
+      fleet.RunUntil([&] { return AllQuarantine(fleet); }, kPropagationTime));
+  fleet.Refute(40, kPoison);
   const auto all_free = [&] {
     for (size_t slot = 0; slot < fleet.size(); ++slot) {
       if (VerdictAt(fleet, slot) != Verdict::kFree)
@@ -189,68 +195,68 @@
     }
     return true;
   };
-  CHECK(fleet.RunUntil(all_free, kTimeToHear));
-  SECTION("and stays so") {
+  CHECK(fleet.RunUntil(all_free, kPropagationTime));
+  SECTION("and it stays free") {
     fleet.RunFor(seconds(30));
     CHECK(all_free());
   }
 }
 
-TEST_CASE("more ends of one request than are kept") {
-  // What many callers ask for all the time runs at each of them.
+TEST_CASE("more crashes of one request than are kept") {
+  // A popular request is running at each crash.
   constexpr size_t kMembers = 295;
   test::GossipFleet fleet({.members = kMembers, .seed = 16});
   fleet.RunFor(seconds(1));
-  const auto all_alike = [&] {
+  const auto all_equal = [&] {
     for (size_t slot = 1; slot < kMembers; ++slot) {
       if (fleet.ledger(slot).digest() != fleet.ledger(0).digest())
         return false;
     }
     return true;
   };
-  const auto end_all = [&] {
+  const auto crash_all = [&] {
     for (size_t slot = 0; slot < kMembers; ++slot) {
-      fleet.CrashServer(slot, 1, {{kGuilty, kRun, true}});
+      fleet.CrashServer(slot, 1, {{kPoison, kRun, true}});
       fleet.RunFor(milliseconds(1));
     }
   };
-  const auto bytes_at_rest = [&] {
+  const auto idle_bytes_per_second = [&] {
     const test::GossipTraffic before = fleet.traffic();
     const base::Instant begin = fleet.now();
     fleet.RunFor(seconds(10));
     return Rate(fleet, before, begin);
   };
 
-  SECTION("all servers end with it within 0.3 s") {
-    end_all();
+  SECTION("all servers crash with it within 0.3 s") {
+    crash_all();
     fleet.RunFor(seconds(20));
-    CHECK(all_alike());
-    CHECK(bytes_at_rest() < kBytesAtRest);
-    SECTION("and it is answered") {
-      fleet.Refute(40, kGuilty);
+    CHECK(all_equal());
+    CHECK(idle_bytes_per_second() < kIdleBytes);
+    SECTION("and it is answered afterwards") {
+      fleet.Refute(40, kPoison);
       fleet.RunFor(seconds(20));
-      CHECK(all_alike());
+      CHECK(all_equal());
       CHECK(VerdictAt(fleet, 0) == Verdict::kFree);
       CHECK(VerdictAt(fleet, 200) == Verdict::kFree);
-      CHECK(bytes_at_rest() < kBytesAtRest);
+      CHECK(idle_bytes_per_second() < kIdleBytes);
     }
   }
-  SECTION("it is answered on both sides of a cut, after ends there") {
+  SECTION("it is answered on both sides of a partition, after crashes there") {
     fleet.Partition([](size_t from, size_t to) {
       return (from < kMembers / 2) != (to < kMembers / 2);
     });
     for (uint32_t life = 1; life <= 6; ++life) {
-      EndWithIt(fleet, {life, 20 + life, 200 + life, 250 + life});
+      CrashWithPoison(fleet, {life, 20 + life, 200 + life, 250 + life});
       fleet.RunFor(seconds(1));
-      fleet.Refute(40, kGuilty);
-      fleet.Refute(240, kGuilty);
+      fleet.Refute(40, kPoison);
+      fleet.Refute(240, kPoison);
       fleet.RunFor(seconds(1));
     }
     fleet.Partition(nullptr);
     fleet.RunFor(seconds(40));
-    CHECK(all_alike());
+    CHECK(all_equal());
     CHECK(VerdictAt(fleet, 0) == Verdict::kFree);
-    CHECK(bytes_at_rest() < kBytesAtRest);
+    CHECK(idle_bytes_per_second() < kIdleBytes);
   }
 }
 
--- a/tests/auto/membership/gossip_fleet_test.cc
+++ b/tests/auto/membership/gossip_fleet_test.cc
@@ -1,4 +1,5 @@
-// Many nodes' gossip together, in virtual time. All outcomes repeat by seed.
+// Gossip of many nodes in virtual time. All results are reproducible by their
+// seed.
 #include <catch2/catch.hpp>
 #include <set>
 
@@ -14,22 +15,23 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-// The nodes that no longer send work to one member, and since when the last.
-struct Watch {
+// Records which nodes have stopped sending requests to one member, and when the
+// last one did.
+struct RemovalObserver {
   base::NodeId id;
-  std::set<size_t> told;
+  std::set<size_t> informed;
   base::Instant last;
 
   void On(GossipFleet& fleet, size_t observer, const MemberChange& change) {
     const bool is_out = change.member.state != MemberState::kAlive ||
                         change.member.server->draining;
     if (change.member.id == id && is_out && fleet.member(observer).id != id &&
-        told.insert(observer).second)
+        informed.insert(observer).second)
       last = fleet.now();
   }
 };
 
-TEST_CASE("nodes that know one seed find each other") {
+TEST_CASE("nodes that know one seed discover each other") {
   const size_t members = GENERATE(1, 2, 3, 30, 100);
   GossipFleet fleet({.members = members, .converged = false});
   for (size_t slot = 1; slot < members; ++slot)
@@ -37,42 +39,41 @@
   CHECK(fleet.RunUntil([&] { return fleet.HasConverged(); }, seconds(20)));
 }
 
-TEST_CASE("a fleet of 100 watches itself") {
+TEST_CASE("a fleet of 100 nodes detects changes") {
   GossipFleet fleet({.members = 100, .seed = GENERATE(1, 2, 3)});
   fleet.RunFor(seconds(5));
   REQUIRE(fleet.HasConverged());
   REQUIRE(fleet.false_positives().suspected == 0);
-  Watch watch{fleet.member(7).id};
+  RemovalObserver observer_of_7{fleet.member(7).id};
   fleet.set_on_change([&](size_t observer, const MemberChange& change) {
-    watch.On(fleet, observer, change);
+    observer_of_7.On(fleet, observer, change);
   });
   const base::Instant start = fleet.now();
 
-  SECTION("a member that dies is out of rotation everywhere within 3 s") {
+  SECTION("a killed member is out of rotation everywhere within 3 s") {
     fleet.Kill(7);
     fleet.RunFor(seconds(20));
-    CHECK(watch.told.size() == 99);
-    CHECK(watch.last - start <= seconds(3));
+    CHECK(observer_of_7.informed.size() == 99);
+    CHECK(observer_of_7.last - start <= seconds(3));
     CHECK(fleet.HasConverged());
     CHECK(fleet.false_positives().gone == 0);
   }
 
-  SECTION("a member that drains is known to drain everywhere within 1 s") {
+  SECTION("a draining member is known everywhere within 1 s") {
     fleet.Drain(7);
     fleet.RunFor(seconds(2));
-    CHECK(watch.told.size() == 99);
-    CHECK(watch.last - start <= seconds(1));
+    CHECK(observer_of_7.informed.size() == 99);
+    CHECK(observer_of_7.last - start <= seconds(1));
   }
 
-  SECTION("a member that leaves is out everywhere within 1 s") {
+  SECTION("a leaving member is out of rotation everywhere within 1 s") {
     fleet.Leave(7);
     fleet.RunFor(seconds(2));
-    CHECK(watch.told.size() == 99);
-    CHECK(watch.last - start <= seconds(1));
+    CHECK(observer_of_7.informed.size() == 99);
+    CHECK(observer_of_7.last - start <= seconds(1));
   }
 
-  SECTION(
-      "a node that starts where one left is found, though it knows nobody") {
+  SECTION("a node without seeds is found at the address of one that left") {
     fleet.Leave(7);
     fleet.RunFor(milliseconds(500));
     fleet.StartWithoutSeed(7);
@@ -81,7 +82,7 @@
     CHECK(fleet.HasConverged());
   }
 
-  SECTION("so is one that starts where one died") {
+  SECTION("a node without seeds is found at the address of a killed one") {
     fleet.Kill(7);
     fleet.RunFor(seconds(12));
     fleet.StartWithoutSeed(7);
@@ -89,39 +90,39 @@
     CHECK(fleet.gossip(7).Members().size() == 100);
   }
 
-  SECTION("a node that takes a dead one's address is told from it") {
+  SECTION("a node at the address of a killed one is a different member") {
     const base::NodeId old = fleet.member(7).id;
     fleet.Start(7, 20);
     fleet.RunFor(seconds(3));
     CHECK(fleet.HasConverged());
-    CHECK(watch.told.size() >= 99);
+    CHECK(observer_of_7.informed.size() >= 99);
     for (size_t slot = 0; slot < fleet.size(); ++slot) {
       const auto* entry = fleet.gossip(slot).table().Find(old);
       CHECK((!entry || entry->state == MemberState::kLeft));
     }
   }
 
-  SECTION("a frozen member comes back with a higher incarnation") {
+  SECTION("a resumed member returns with a higher incarnation") {
     fleet.Freeze(7);
     fleet.RunFor(seconds(15));
-    CHECK(watch.told.size() == 99);
+    CHECK(observer_of_7.informed.size() == 99);
     fleet.Resume(7);
     CHECK(fleet.RunUntil([&] { return fleet.HasConverged(); }, seconds(15)));
     CHECK(fleet.gossip(7).incarnation() > 1);
     CHECK(fleet.gossip(7).counters().suspected == 0);
   }
 
-  SECTION("a revision reaches all nodes that announce it in turn") {
-    std::set<size_t> heard;
+  SECTION("a revision reaches all nodes if each announces it") {
+    std::set<size_t> reached;
     fleet.set_on_revision([&](size_t observer, uint64_t revision) {
-      heard.insert(observer);
+      reached.insert(observer);
       fleet.AnnounceRevision(observer, revision);
     });
     fleet.AnnounceRevision(3, 12);
-    CHECK(fleet.RunUntil([&] { return heard.size() == 99; }, seconds(2)));
+    CHECK(fleet.RunUntil([&] { return reached.size() == 99; }, seconds(2)));
   }
 
-  SECTION("regions that are cut for three minutes find each other") {
+  SECTION("regions rejoin after a partition of three minutes") {
     fleet.Partition([&](size_t a, size_t b) {
       return (fleet.RegionOf(a) < 2) != (fleet.RegionOf(b) < 2);
     });
@@ -134,7 +135,7 @@
   }
 }
 
-TEST_CASE("bad links do not take a live member out") {
+TEST_CASE("bad links do not remove a live member") {
   GossipFleet fleet({.members = 60,
                      .seed = GENERATE(1, 2),
                      .loss = 0.05,
@@ -149,7 +150,7 @@
   CHECK(fleet.RunUntil([&] { return fleet.HasConverged(); }, seconds(20)));
 }
 
-TEST_CASE("what a node sends at rest does not grow with the fleet") {
+TEST_CASE("the idle traffic of a node does not grow with the fleet") {
   const auto bytes_per_node = [](size_t members) {
     GossipFleet fleet({.members = members});
     fleet.RunFor(seconds(10));
@@ -163,7 +164,7 @@
   CHECK(small <= 3000);
 }
 
-TEST_CASE("two members of each data centre keep its seeds") {
+TEST_CASE("two members of each data centre write its seed entries") {
   GossipFleet fleet({.members = 60});
   std::multiset<std::string> keepers;
   for (size_t slot = 0; slot < fleet.size(); ++slot) {
@@ -176,7 +177,7 @@
   CHECK(std::set<std::string>(keepers.begin(), keepers.end()).size() ==
         keepers.size());
 
-  SECTION("and others do where these have lost the store") {
+  SECTION("others take over from members that have lost the store") {
     const auto before = fleet.gossip(0).Members();
     auto members = before;
     for (auto& member : members)
--- a/tests/auto/membership/gossip_input_test.cc
+++ b/tests/auto/membership/gossip_input_test.cc
@@ -1,4 +1,4 @@
-// What comes from outside: foreign, damaged, replayed and newer datagrams.
+// Untrusted input: foreign, damaged, replayed and newer datagrams.
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
 #include <msgpack.hpp>
@@ -17,7 +17,7 @@
 
 constexpr char kKey[] = "0123456789abcdef";
 
-GossipMessage Slander(GossipFleet& fleet) {
+GossipMessage FalseLeaveMessage(GossipFleet& fleet) {
   return {.type = MessageType::kUpdate,
           .sender = fleet.member(1).id,
           .incarnation = 1,
@@ -26,19 +26,19 @@
           .updates = {{fleet.member(2).id, 1, MemberState::kLeft, 0, ""}}};
 }
 
-TEST_CASE("a datagram is believed by its tag") {
+TEST_CASE("a datagram is authenticated by its tag") {
   GossipFleet fleet({.members = 3});
-  const std::string message = Slander(fleet).Encode();
+  const std::string message = FalseLeaveMessage(fleet).Encode();
   const auto state_at_0 = [&] {
     return fleet.gossip(0).table().Find(fleet.member(2).id)->state;
   };
 
-  SECTION("one of this fleet is heard") {
+  SECTION("a datagram of this fleet is accepted") {
     fleet.Inject(0, DatagramAuthenticator("fleet", kKey, "").Sign(message));
     fleet.RunFor(base::Duration(1));
     CHECK(state_at_0() == MemberState::kLeft);
   }
-  SECTION("one of another fleet, another key, or none, changes nothing") {
+  SECTION("a datagram of another fleet or key, or without a tag, is ignored") {
     const uint64_t digest = fleet.gossip(0).table().digest();
     fleet.Inject(0, DatagramAuthenticator("other", kKey, "").Sign(message));
     fleet.Inject(
@@ -50,8 +50,8 @@
     CHECK(fleet.gossip(0).table().digest() == digest);
     CHECK(fleet.gossip(0).counters().unauthenticated == 4);
   }
-  SECTION("one whose evidence cannot be read is heard for the rest of it") {
-    GossipMessage damaged = Slander(fleet);
+  SECTION("a datagram with malformed evidence is accepted without it") {
+    GossipMessage damaged = FalseLeaveMessage(fleet);
     damaged.evidence_digest = 1;
     damaged.evidence = "\xc1";
     fleet.Inject(
@@ -60,7 +60,7 @@
     CHECK(state_at_0() == MemberState::kLeft);
     CHECK(fleet.gossip(0).counters().malformed == 1);
   }
-  SECTION("one with the previous key is heard while keys change") {
+  SECTION("a datagram with the previous key is accepted during a key change") {
     const DatagramAuthenticator receiver("fleet", "fedcba9876543210", kKey);
     CHECK(receiver.Verify(
               DatagramAuthenticator("fleet", kKey, "").Sign(message)) ==
@@ -68,26 +68,26 @@
   }
 }
 
-TEST_CASE("old news that are replayed do not take a member out again") {
+TEST_CASE("a replayed update does not remove a member again") {
   GossipFleet fleet({.members = 3});
-  const std::string slander =
-      DatagramAuthenticator("fleet", kKey, "").Sign(Slander(fleet).Encode());
-  fleet.Inject(0, slander);
+  const std::string false_leave = DatagramAuthenticator("fleet", kKey, "")
+                                      .Sign(FalseLeaveMessage(fleet).Encode());
+  fleet.Inject(0, false_leave);
   REQUIRE(fleet.RunUntil(
       [&] {
         return fleet.gossip(2).incarnation() == 2 && fleet.HasConverged();
       },
       std::chrono::seconds(20)));
-  fleet.Inject(0, slander);
+  fleet.Inject(0, false_leave);
   fleet.RunFor(std::chrono::milliseconds(1));
   CHECK(fleet.HasConverged());
 }
 
-TEST_CASE("fields of a newer version survive") {
+TEST_CASE("fields of a newer version are preserved") {
   GossipFleet fleet({.members = 3});
   const MemberRecord known = MemberRecord::Encode(fleet.member(0));
   std::string newer = known.bytes;
-  // The map's head counts its fields in the low four bits.
+  // The first byte of the map holds the number of fields in its low four bits.
   newer[0] = static_cast<char>(newer[0] + 1);
   newer += "\x65\xA3new";
   const auto decoded = MemberRecord::Decode(newer);
@@ -95,15 +95,15 @@
   CHECK(decoded->member == known.member);
   CHECK(decoded->bytes == newer);
 
-  SECTION("and elements appended to a message are ignored") {
-    std::string message = Slander(fleet).Encode();
+  SECTION("elements appended to a message are ignored") {
+    std::string message = FalseLeaveMessage(fleet).Encode();
     message[0] = static_cast<char>(message[0] + 1);
     message += "\xA3new";
     CHECK(GossipMessage::Decode(message));
   }
 }
 
-TEST_CASE("a member's way to the store travels with its record") {
+TEST_CASE("the record of a member carries whether it lost the store") {
   GossipFleet fleet({.members = 1});
   membership::Member member = fleet.member(0);
   for (const bool has_lost_store : {false, true}) {
@@ -117,7 +117,7 @@
 }
 
 TEST_CASE("damaged input is dropped") {
-  rc::prop("a message survives its encoding", [] {
+  rc::prop("a decoded message equals the encoded one", [] {
     const auto address = *rc::gen::arbitrary<uint32_t>();
     GossipMessage message{.type = MessageType::kPing,
                           .sender = {*rc::gen::nonZero<uint64_t>()},
@@ -138,7 +138,7 @@
     RC_ASSERT(read->updates == message.updates);
   });
 
-  rc::prop("mutated messages and pulls with a right tag never crash", [] {
+  rc::prop("mutated messages and pulls with a valid tag never crash", [] {
     GossipFleet fleet({.members = 3});
     const auto mutate = [](std::string bytes) {
       const auto places = *rc::gen::container<std::vector<size_t>>(
@@ -147,7 +147,7 @@
         bytes[place] = *rc::gen::arbitrary<char>();
       return bytes.substr(0, *rc::gen::inRange<size_t>(0, bytes.size() + 1));
     };
-    GossipMessage message = Slander(fleet);
+    GossipMessage message = FalseLeaveMessage(fleet);
     message.updates[0].record = MemberRecord::Encode(fleet.member(2)).bytes;
     const DatagramAuthenticator authenticator("fleet", kKey, "");
     fleet.Inject(0, authenticator.Sign(mutate(message.Encode())));
--- a/tests/auto/membership/record_pull_test.cc
+++ b/tests/auto/membership/record_pull_test.cc
@@ -1,4 +1,4 @@
-// From whom a node asks for the records of members that it only knows by name.
+// Which members a node asks for records that it lacks.
 #include <catch2/catch.hpp>
 #include <set>
 #include <string>
@@ -27,7 +27,7 @@
   return {member.id, 1, MemberState::kAlive, record->hash, record->bytes};
 }
 
-TEST_CASE("a member whose record the node that is asked lacks as well") {
+TEST_CASE("a record that the responder lacks as well") {
   const Member asked = MakeMember(2);
   RecordCache records;
   quarantine::CrashLedger ledger;
@@ -43,7 +43,7 @@
   gossip.OnPullResponse(kStart, view.Encode(), output);
   REQUIRE(gossip.Members().size() == 4);
 
-  SECTION("is asked for elsewhere too") {
+  SECTION("is requested from other members too") {
     std::set<std::string> to;
     base::Instant now = kStart;
     for (int i = 0; i < 40; ++i, now += std::chrono::milliseconds(100)) {
--- a/tests/support/gossip_fleet.cc
+++ b/tests/support/gossip_fleet.cc
@@ -22,11 +22,11 @@
 constexpr uint16_t kPort = 7400;
 constexpr uint32_t kNetwork = 10U << 24;
 constexpr size_t kPacketOverhead = 28;
-// Heads of a control call and its answer, with those of TCP.
-constexpr size_t kCallHeads = 900;
-// The kernel's buffer of a socket that nobody reads.
-constexpr size_t kLargestWaiting = 200;
-constexpr std::chrono::microseconds kNearDelay(250);
+// Headers of a control call and its response, including those of TCP.
+constexpr size_t kCallHeaderBytes = 900;
+// Datagrams that the kernel buffers for a socket that is not read.
+constexpr size_t kMaxPendingDatagrams = 200;
+constexpr std::chrono::microseconds kLocalDelay(250);
 constexpr std::chrono::microseconds kRegionDelay(750);
 constexpr std::chrono::milliseconds kFarDelay(30);
 constexpr std::chrono::milliseconds kFarDelayStep(10);
@@ -58,8 +58,8 @@
 }
 
 void GossipFleet::AddGossip(size_t slot) {
-  Slot& place = slots_[slot];
-  Member& member = place.member;
+  Slot& node = slots_[slot];
+  Member& member = node.member;
   member.id = base::NodeId::Draw(random_);
   member.name = absl::StrCat("vm-", slot);
   member.data_centre = absl::StrCat("dc-", DataCentreOf(slot));
@@ -71,14 +71,14 @@
   member.server = membership::ServerAnnouncement{
       absl::StrCat("service-", slot % kServices), 12, false};
   slot_of_[member.id] = slot;
-  place.ledger = std::make_unique<quarantine::CrashLedger>();
-  place.gossip = std::make_unique<membership::Gossip>(
+  node.ledger = std::make_unique<quarantine::CrashLedger>();
+  node.gossip = std::make_unique<membership::Gossip>(
       member, options_.gossip,
       membership::DatagramAuthenticator("fleet", "0123456789abcdef", ""),
-      records_, *place.ledger, base::Random(random_()), now_);
-  place.frozen = false;
-  ++place.life;
-  place.pending_datagrams.clear();
+      records_, *node.ledger, base::Random(random_()), now_);
+  node.frozen = false;
+  ++node.life;
+  node.pending_datagrams.clear();
   GossipOutput none;
   Apply(slot, none);
 }
@@ -141,7 +141,7 @@
   if (!slot.gossip)
     return;
   if (event.kind == Kind::kDatagram && slot.frozen) {
-    if (slot.pending_datagrams.size() < kLargestWaiting)
+    if (slot.pending_datagrams.size() < kMaxPendingDatagrams)
       slot.pending_datagrams.emplace_back(from, std::move(event.bytes));
     return;
   }
@@ -194,10 +194,10 @@
     Observe(slot, change);
   if (output.revision && on_revision_)
     on_revision_(slot, output.revision->revision);
-  Slot& place = slots_[slot];
-  const base::Instant next = std::max(place.gossip->NextRun(), now_);
-  if (place.timer == base::Instant() || next < place.timer) {
-    place.timer = next;
+  Slot& node = slots_[slot];
+  const base::Instant next = std::max(node.gossip->NextRun(), now_);
+  if (node.timer == base::Instant() || next < node.timer) {
+    node.timer = next;
     Schedule(next, Kind::kTimer, slot, slot, "");
   }
 }
@@ -205,9 +205,9 @@
 void GossipFleet::SendPull(size_t slot, membership::OutgoingPull& pull) {
   const size_t to = SlotAt(pull.control_address);
   ++traffic_.pulls;
-  traffic_.pull_bytes += pull.request.size() + kCallHeads;
-  const bool cut = is_partitioned_ && is_partitioned_(slot, to);
-  if (to >= slots_.size() || cut || !IsUp(to)) {
+  traffic_.pull_bytes += pull.request.size() + kCallHeaderBytes;
+  const bool is_cut_off = is_partitioned_ && is_partitioned_(slot, to);
+  if (to >= slots_.size() || is_cut_off || !IsUp(to)) {
     Schedule(now_ + kPullTimeout, Kind::kPullFailed, slot, slot, "");
     return;
   }
@@ -218,9 +218,10 @@
 void GossipFleet::Observe(size_t observer, const MemberChange& change) {
   const auto found = slot_of_.find(change.member.id);
   const size_t slot = found == slot_of_.end() ? size() : found->second;
-  const bool is_well = slot < size() && IsUp(slot) &&
-                       slots_[slot].member.id == change.member.id &&
-                       !(is_partitioned_ && is_partitioned_(observer, slot));
+  const bool is_reachable =
+      slot < size() && IsUp(slot) &&
+      slots_[slot].member.id == change.member.id &&
+      !(is_partitioned_ && is_partitioned_(observer, slot));
   const auto key = std::make_pair(observer, change.member.id);
   if (change.member.state == MemberState::kAlive) {
     const auto gone = gone_since_.find(key);
@@ -229,7 +230,7 @@
           std::max(false_positives_.longest_gone, now_ - gone->second);
       gone_since_.erase(gone);
     }
-  } else if (is_well) {
+  } else if (is_reachable) {
     const bool is_gone = change.member.state >= MemberState::kGone;
     ++(is_gone ? false_positives_.gone : false_positives_.suspected);
     if (is_gone)
@@ -246,7 +247,7 @@
 }
 
 base::Duration GossipFleet::Delay(size_t from, size_t to) {
-  base::Duration delay = kNearDelay;
+  base::Duration delay = kLocalDelay;
   const size_t a = RegionOf(from);
   const size_t b = RegionOf(to);
   if (a != b)
@@ -280,15 +281,15 @@
 }
 
 void GossipFleet::Resume(size_t slot) {
-  Slot& place = slots_[slot];
-  place.frozen = false;
-  place.timer = {};
+  Slot& node = slots_[slot];
+  node.frozen = false;
+  node.timer = {};
   GossipOutput output;
-  place.gossip->Run(now_, output);
+  node.gossip->Run(now_, output);
   Apply(slot, output);
-  for (auto& [from, bytes] : std::exchange(place.pending_datagrams, {})) {
+  for (auto& [from, bytes] : std::exchange(node.pending_datagrams, {})) {
     GossipOutput received;
-    place.gossip->Receive(now_, from, bytes, received);
+    node.gossip->Receive(now_, from, bytes, received);
     Apply(slot, received);
   }
 }
@@ -310,10 +311,10 @@
 }
 
 void GossipFleet::Drain(size_t slot) {
-  Slot& place = slots_[slot];
-  place.member.server->draining = true;
+  Slot& node = slots_[slot];
+  node.member.server->draining = true;
   GossipOutput output;
-  place.gossip->Update(now_, place.member, output);
+  node.gossip->Update(now_, node.member, output);
   Apply(slot, output);
 }
 
@@ -334,14 +335,14 @@
     size_t slot,
     uint32_t life,
     const std::vector<quarantine::RunningRequest>& running) {
-  Slot& place = slots_[slot];
-  std::vector<base::RequestFingerprint> told;
+  Slot& node = slots_[slot];
+  std::vector<base::RequestFingerprint> fingerprints;
   for (const auto& evidence :
-       place.ledger->AddCrash({{place.member.id, life}, running}, now_)) {
-    told.push_back(evidence.fingerprint);
+       node.ledger->AddCrash({{node.member.id, life}, running}, now_)) {
+    fingerprints.push_back(evidence.fingerprint);
   }
   GossipOutput output;
-  place.gossip->AnnounceEvidence(now_, told, output);
+  node.gossip->AnnounceEvidence(now_, fingerprints, output);
   Apply(slot, output);
 }
 
--- a/tests/support/gossip_fleet.h
+++ b/tests/support/gossip_fleet.h
@@ -1,5 +1,6 @@
-// A fleet of the gossip that ships, in one process and virtual time, over
-// links in memory that lose, duplicate, delay and cut.
+// Simulates a fleet that runs the product's gossip, in one process and virtual
+// time, over links that lose, duplicate, delay and reorder messages and can be
+// partitioned.
 #ifndef SUPPORT_GOSSIP_FLEET_H_
 #define SUPPORT_GOSSIP_FLEET_H_
 
@@ -22,21 +23,22 @@
   uint64_t seed = 1;
   double loss = 0;
   double duplication = 0;
-  base::Duration jitter{};  // Up to this much more delay: reorders.
-  bool converged = true;    // All know all at the start.
+  base::Duration
+      jitter{};  // Random additional delay, up to this; reorders datagrams.
+  bool converged = true;  // Whether all nodes know all members at the start.
   membership::GossipOptions gossip;
 };
 
 struct GossipTraffic {
   uint64_t datagrams = 0;
-  uint64_t datagram_bytes = 0;  // With IP and UDP heads.
+  uint64_t datagram_bytes = 0;  // Including IP and UDP headers.
   uint64_t pulls = 0;
-  uint64_t pull_bytes = 0;  // Both ways, with an estimate of the heads.
+  uint64_t pull_bytes = 0;  // Both directions, with an estimate of the headers.
 };
 
-// How often and for how long a reachable member was held to be out.
+// How often and for how long reachable members were believed to have failed.
 struct FalsePositives {
-  uint64_t suspected = 0;  // Views of one node about one member.
+  uint64_t suspected = 0;  // Counted for each observer and member.
   uint64_t gone = 0;
   base::Duration longest_gone{};
 };
@@ -51,32 +53,33 @@
   explicit GossipFleet(const GossipFleetOptions& options);
 
   void RunFor(base::Duration duration);
-  // Runs until `condition` holds, checked every 10 ms; whether it held.
+  // Runs until `condition` holds, which is checked every 10 ms, or `limit` is
+  // over. Returns whether it held.
   bool RunUntil(const std::function<bool()>& condition, base::Duration limit);
   base::Instant now() const { return now_; }
 
-  // Slots are VMs: each has an address, and one node at a time.
+  // A slot is a VM: it has an address and runs one node at a time.
   size_t size() const { return slots_.size(); }
   void Kill(size_t slot);
   void Leave(size_t slot);
   void Freeze(size_t slot);
   void Resume(size_t slot);
-  // Starts a new node in the slot, which knows one seed.
+  // Starts a new node in the slot that knows one seed.
   void Start(size_t slot, size_t seed);
-  // The same, but it knows nobody.
+  // Starts a new node in the slot that knows no other node.
   void StartWithoutSeed(size_t slot);
-  // Lets the node in `slot` say hello to another seed.
+  // Makes the node in `slot` ping another seed.
   void ContactSeed(size_t slot, size_t seed);
   void Drain(size_t slot);
   void AnnounceRevision(size_t slot, uint64_t revision);
-  // The node reads this from the store.
+  // Passes the evacuations to the node as read from the store.
   void ReadEvacuations(size_t slot, const evacuation::Evacuations& read);
-  // The server beside the node ends while it runs the requests. `life` counts
-  // its starts.
+  // Crashes the server beside the node while it runs the requests. `life`
+  // counts the starts of the server.
   void CrashServer(size_t slot,
                    uint32_t life,
                    const std::vector<quarantine::RunningRequest>& running);
-  // The server beside the node answered a request that it was not to answer.
+  // Makes the server beside the node answer a request that is under suspicion.
   void Refute(size_t slot, base::RequestFingerprint fingerprint);
   quarantine::CrashLedger& ledger(size_t slot) { return *slots_[slot].ledger; }
   void Partition(IsPartitioned is_partitioned) {
@@ -92,7 +95,8 @@
   const membership::Member& member(size_t slot) const {
     return slots_[slot].member;
   }
-  // Whether every node that is up holds exactly those that are up for live.
+  // Returns whether each running node believes exactly the running nodes to be
+  // live.
   bool HasConverged();
   size_t DataCentreOf(size_t slot) const { return slot % data_centres_; }
   size_t RegionOf(size_t slot) const;
@@ -104,7 +108,7 @@
   }
   const GossipTraffic& traffic() const { return traffic_; }
   FalsePositives& false_positives() { return false_positives_; }
-  // The answer to a pull that teaches the whole fleet, records included.
+  // Returns a pull response that contains the whole fleet with its records.
   std::string FullPullResponse() const;
 
  private:
