--- a/src/libs/duties/seed_duty.cc
+++ b/src/libs/duties/seed_duty.cc
@@ -8,12 +8,12 @@
 
 std::optional<size_t> SeedDuty(const membership::Member& self,
                                std::span<const membership::Member> members) {
-  const auto ahead =
+  const auto preceding =
       std::ranges::count_if(members, [&](const membership::Member& other) {
         return other.data_centre == self.data_centre && CanDoStoreDuty(other) &&
                StoreDutyOrder(other) < StoreDutyOrder(self);
       });
-  const auto place = static_cast<size_t>(ahead);
+  const auto place = static_cast<size_t>(preceding);
   return place < kSeedsPerDataCentre ? std::optional(place) : std::nullopt;
 }
 
--- a/src/libs/duties/seed_duty.h
+++ b/src/libs/duties/seed_duty.h
@@ -1,5 +1,5 @@
-// Chooses, without any message, which members keep a data centre's seed
-// entries in the store: the first by StoreDutyOrder() that can.
+// Determines without messages which members maintain the seed entries of a data
+// centre in the store: the first in StoreDutyOrder() that can.
 #ifndef DUTIES_SEED_DUTY_H_
 #define DUTIES_SEED_DUTY_H_
 
@@ -10,11 +10,12 @@
 
 namespace chestnutport::duties {
 
-// Entries of each data centre.
+// Seed entries of each data centre.
 inline constexpr size_t kSeedsPerDataCentre = 2;
 
-// The entry that `self` keeps, counted from zero; none if others keep all.
-// Two nodes whose views differ may choose the same: that is harmless.
+// Returns the index of the entry that `self` maintains, or nothing if it
+// maintains none. Nodes whose views differ may choose the same entry, which is
+// harmless.
 std::optional<size_t> SeedDuty(const membership::Member& self,
                                std::span<const membership::Member> members);
 
--- a/src/libs/duties/seed_search.cc
+++ b/src/libs/duties/seed_search.cc
@@ -10,18 +10,19 @@
 using base::Duration;
 
 constexpr std::chrono::seconds kFirstBackoff(1);
-constexpr std::chrono::seconds kLongestBackoff(30);
-// The first listings take this part of the longest wait.
-constexpr int kSpreadPart = 5;
-// VMs that lost power together come up within some 300 ms, and a greeting to
-// one that does not listen yet is lost. A greeting costs the store nothing.
-constexpr std::chrono::milliseconds kFirstGreeting(40);
-constexpr std::chrono::milliseconds kLongestGreeting(640);
-
-Duration PartOf(Duration whole,
-                double least,
-                double most,
-                base::Random& random) {
+constexpr std::chrono::seconds kMaxBackoff(30);
+// The first listings are spread over the longest wait divided by this.
+constexpr int kJitterDivisor = 5;
+// VMs that lost power together start within some 300 ms of each other, and a
+// ping to a node that does not listen yet is lost. Pings cause no load on the
+// store.
+constexpr std::chrono::milliseconds kFirstPingInterval(40);
+constexpr std::chrono::milliseconds kMaxPingInterval(640);
+
+Duration RandomPart(Duration whole,
+                    double least,
+                    double most,
+                    base::Random& random) {
   const double part = std::uniform_real_distribution<>(least, most)(random);
   return std::chrono::duration_cast<Duration>(part * whole);
 }
@@ -30,48 +31,48 @@
 
 SeedSearch::SeedSearch(bool counts_old_listings, Duration longest_wait)
     : counts_old_listings_(counts_old_listings),
-      longest_wait_(std::min<Duration>(longest_wait, kLongestBackoff)),
+      longest_wait_(std::min<Duration>(longest_wait, kMaxBackoff)),
       backoff_(FirstBackoff()),
-      greeting_(kFirstGreeting) {}
+      ping_interval_(kFirstPingInterval) {}
 
-Duration SeedSearch::FirstWait(base::Random& random) const {
-  return counts_old_listings_ ? DrawSpread(random) : Duration::zero();
+Duration SeedSearch::FirstDelay(base::Random& random) const {
+  return counts_old_listings_ ? DrawJitter(random) : Duration::zero();
 }
 
-SeedSearch::Listing SeedSearch::Next(bool is_alone) {
+SeedSearch::Listing SeedSearch::NextListing(bool is_alone) {
   const bool is_first = !std::exchange(has_listed_, true);
-  const bool may_be_old = !is_alone || (is_first && !counts_old_listings_);
-  return may_be_old ? Listing::kMayBeOld : Listing::kLatest;
+  const bool may_be_stale = !is_alone || (is_first && !counts_old_listings_);
+  return may_be_stale ? Listing::kMayBeOld : Listing::kLatest;
 }
 
-Duration SeedSearch::Wait(bool is_alone, base::Random& random) {
-  Duration wait = kDutyInterval;
+Duration SeedSearch::NextDelay(bool is_alone, base::Random& random) {
+  Duration wait = kListingInterval;
   if (is_alone) {
     wait = backoff_;
     backoff_ = std::min<Duration>(2 * backoff_, longest_wait_);
   } else {
     backoff_ = FirstBackoff();
   }
-  return PartOf(wait, 0.5, 1.5, random);
+  return RandomPart(wait, 0.5, 1.5, random);
 }
 
-Duration SeedSearch::WaitAfterNobody(base::Random& random) const {
-  return DrawSpread(random);
+Duration SeedSearch::DelayAfterEmptyListing(base::Random& random) const {
+  return DrawJitter(random);
 }
 
-void SeedSearch::RestartGreeting() {
-  greeting_ = kFirstGreeting;
+void SeedSearch::ResetPingInterval() {
+  ping_interval_ = kFirstPingInterval;
 }
 
-Duration SeedSearch::NextGreeting() {
-  return std::exchange(greeting_,
-                       std::min<Duration>(2 * greeting_, kLongestGreeting));
+Duration SeedSearch::NextPingInterval() {
+  return std::exchange(
+      ping_interval_, std::min<Duration>(2 * ping_interval_, kMaxPingInterval));
 }
 
-Duration SeedSearch::DrawSpread(base::Random& random) const {
+Duration SeedSearch::DrawJitter(base::Random& random) const {
   const Duration spread =
-      std::min<Duration>(kStartSpread, longest_wait_ / kSpreadPart);
-  return PartOf(spread, 0, 1, random);
+      std::min<Duration>(kStartJitter, longest_wait_ / kJitterDivisor);
+  return RandomPart(spread, 0, 1, random);
 }
 
 Duration SeedSearch::FirstBackoff() const {
--- a/src/libs/duties/seed_search.h
+++ b/src/libs/duties/seed_search.h
@@ -1,10 +1,10 @@
-// How a node that knows of no other looks for the fleet: which listings of the
-// seed entries it asks the store for, and how often it greets those it was told
-// of. Pure: nothing is sent here, and random numbers are passed in.
+// Schedules how a node without known members looks for the fleet: which
+// listings of the seed entries it requests from the store, and how often it
+// pings its contacts. Does no I/O; random numbers are passed in.
 //
-// A listing that may be some seconds old is cheaper than one of now and, where
-// the store does not count it toward its rate, needs no spreading. A start
-// beside a running fleet needs no other.
+// A listing that may be some seconds old is cheaper than a current one. Where
+// the store does not count it towards its rate limit, it needs no jitter. It is
+// the only kind of listing that a start beside a running fleet takes.
 #ifndef DUTIES_SEED_SEARCH_H_
 #define DUTIES_SEED_SEARCH_H_
 
@@ -17,40 +17,41 @@
  public:
   // Nodes that start together spread their first listings over this time, or
   // over a part of the longest wait if that is shorter.
-  static constexpr std::chrono::seconds kStartSpread{2};
-  // Between two listings of a node that keeps an entry.
-  static constexpr std::chrono::seconds kDutyInterval{5};
+  static constexpr std::chrono::seconds kStartJitter{2};
+  // Interval between the listings of a node that maintains an entry.
+  static constexpr std::chrono::seconds kListingInterval{5};
 
   enum class Listing { kMayBeOld, kLatest };
 
-  // `longest_wait`: between two listings of a node that is alone.
+  // `longest_wait` limits the time between two listings of a node that is
+  // alone.
   SeedSearch(bool counts_old_listings, base::Duration longest_wait);
 
-  // Until the first listing.
-  base::Duration FirstWait(base::Random& random) const;
-  // The listing to be made now. For a duty that comes round an old one will do:
-  // a write checks the revision.
-  Listing Next(bool is_alone);
-  // Until the next listing.
-  base::Duration Wait(bool is_alone, base::Random& random);
-  // The same after an old listing that named nobody: the fleet may have started
-  // since.
-  base::Duration WaitAfterNobody(base::Random& random) const;
-
-  // Greeting begins anew, as there is somebody else to greet.
-  void RestartGreeting();
-  // Until those that were greeted are greeted again.
-  base::Duration NextGreeting();
+  // Returns the delay before the first listing.
+  base::Duration FirstDelay(base::Random& random) const;
+  // Returns the kind of the next listing. A stale one suffices for a node that
+  // maintains an entry, since its write checks the revision.
+  Listing NextListing(bool is_alone);
+  // Returns the delay before the next listing.
+  base::Duration NextDelay(bool is_alone, base::Random& random);
+  // Returns the delay after a stale listing without seeds, as the fleet may
+  // have started since.
+  base::Duration DelayAfterEmptyListing(base::Random& random) const;
+
+  // Restarts the ping intervals, as there are new contacts.
+  void ResetPingInterval();
+  // Returns the delay before the contacts are pinged again.
+  base::Duration NextPingInterval();
 
  private:
-  base::Duration DrawSpread(base::Random& random) const;
+  base::Duration DrawJitter(base::Random& random) const;
   base::Duration FirstBackoff() const;
 
   bool counts_old_listings_;
   base::Duration longest_wait_;
   bool has_listed_ = false;
   base::Duration backoff_;
-  base::Duration greeting_;
+  base::Duration ping_interval_;
 };
 
 }  // namespace chestnutport::duties
--- a/src/libs/duties/store_duty.h
+++ b/src/libs/duties/store_duty.h
@@ -1,4 +1,5 @@
-// Which members do at the platform's store what a few nodes do for all.
+// Determines which members perform the duties at the platform's store that a
+// few nodes perform for all.
 #ifndef DUTIES_STORE_DUTY_H_
 #define DUTIES_STORE_DUTY_H_
 
@@ -9,12 +10,13 @@
 
 namespace chestnutport::duties {
 
-// The lowest of a data centre go first. A rendezvous hash: any node can work it
-// out, and the loss of one moves only its own duties.
+// Returns a sort key; the members with the lowest keys of a data centre come
+// first. It is a rendezvous hash: any node can compute it, and the loss of a
+// member moves only its own duties.
 std::pair<uint64_t, uint64_t> StoreDutyOrder(const membership::Member& member);
 
-// Whether others may leave a duty to the member: that it is alive does not show
-// that it reaches the store.
+// Returns whether the member can perform duties at the store. A live member may
+// have lost the store.
 bool CanDoStoreDuty(const membership::Member& member);
 
 }  // namespace chestnutport::duties
--- a/src/libs/fleet/evidence_store.cc
+++ b/src/libs/fleet/evidence_store.cc
@@ -12,18 +12,20 @@
 using quarantine::RequestEvidence;
 
 constexpr char kName[] = "quarantine";
-// The entry ends when the longest hold does; what is held for longer has been
-// written anew since, as a further server ended.
+// The entry expires when the longest quarantine does. An entry for a longer
+// quarantine has been rewritten since, after a further crash.
 constexpr std::chrono::milliseconds kTimeToLive =
     quarantine::CrashLedger::kQuarantinePeriod;
-// Within this time the writers of the data centres list, one after the other as
-// a rule, so that the first one's entry is seen by the others.
-constexpr std::chrono::milliseconds kSpread(1000);
+// The writers of the data centres list the entries at random times within this
+// period. In general they do so one after the other and see the entry written
+// by the first.
+constexpr std::chrono::milliseconds kWriteJitter(1000);
 
-std::vector<RequestEvidence> EvidenceOf(const std::vector<HeldRequest>& held) {
+std::vector<RequestEvidence> EvidenceOf(
+    const std::vector<RequestWithVerdict>& held) {
   std::vector<RequestEvidence> all;
   all.reserve(held.size());
-  for (const HeldRequest& request : held)
+  for (const RequestWithVerdict& request : held)
     all.push_back(request.evidence);
   return all;
 }
@@ -53,10 +55,10 @@
   const auto found = std::ranges::find(entries, key_, &store::StoreEntry::key);
   const auto stored = Read(found == entries.end() ? "" : found->value);
   quarantine_.Learn(stored);
-  const auto held = EvidenceOf(quarantine_.Held());
-  const bool is_kept =
+  const auto held = EvidenceOf(quarantine_.RequestsWithVerdict());
+  const bool is_stored =
       quarantine::EvidenceDigest(held) == quarantine::EvidenceDigest(stored);
-  if (writes && !held.empty() && !is_kept)
+  if (writes && !held.empty() && !is_stored)
     Write(found == entries.end() ? 0 : found->revision);
 }
 
@@ -74,21 +76,21 @@
   if (!writes_ || timer_ != 0)
     return;
   const auto wait = std::uniform_int_distribution<base::Duration::rep>(
-      0, base::Duration(kSpread).count())(random_);
+      0, base::Duration(kWriteJitter).count())(random_);
   timer_ = loop_.CallAfter(base::Duration(wait), [this] {
     timer_ = 0;
     list_soon_();
   });
 }
 
-// A write that loses to another node's, or whose answer is lost, is made up for
-// after the next listing.
+// A write that conflicts with that of another node, or whose response is lost,
+// is repeated after the next listing.
 void EvidenceStore::Write(int64_t expected) {
   store_.GrantLease(kTimeToLive, [this, expected](auto lease) {
     if (!lease)
       return;
-    const std::string bytes =
-        quarantine::EncodeEvidence(EvidenceOf(quarantine_.Held()), loop_.now());
+    const std::string bytes = quarantine::EncodeEvidence(
+        EvidenceOf(quarantine_.RequestsWithVerdict()), loop_.now());
     store_.CompareAndSwap(key_, expected, bytes, lease.value(),
                           [](base::Result<bool>) {});
   });
--- a/src/libs/fleet/evidence_store.h
+++ b/src/libs/fleet/evidence_store.h
@@ -1,6 +1,6 @@
-// Keeps what is known of requests in quarantine in the platform's store, for a
-// fleet of which all nodes are started anew at once. Runs on the control
-// thread.
+// Persists the evidence on suspected and quarantined requests in the platform's
+// store, so that it survives a restart of all nodes of a fleet at once. Runs on
+// the control thread.
 #ifndef FLEET_EVIDENCE_STORE_H_
 #define FLEET_EVIDENCE_STORE_H_
 
@@ -15,13 +15,13 @@
 
 namespace chestnutport::fleet {
 
-// One entry for the whole fleet, beside those that starting nodes list anyway:
-// reading it costs no call. It is written by the nodes that keep the first
-// entry of a data centre, two calls for each change of what is held, and ends
-// by itself.
+// There is one entry for the whole fleet, below the prefix that starting nodes
+// list anyway, so reading it costs no additional call. It is written by the
+// nodes that maintain the first seed entry of a data centre, with two calls for
+// each change, and expires with its lease.
 class EvidenceStore {
  public:
-  // Lists the entries soon.
+  // Requests a new listing of the entries.
   using ListHandler = std::function<void()>;
 
   // The references must outlive this object.
@@ -33,14 +33,15 @@
                 const base::Random& random);
   ~EvidenceStore();
 
-  // Entries of the store below the prefix; `writes`: this node is one of those
-  // that keep the entry.
+  // Called with the entries below the prefix; `writes` is whether this node is
+  // one of the writers.
   void OnListed(const std::vector<store::StoreEntry>& entries, bool writes);
-  // What is held has changed.
+  // Called when the suspected and quarantined requests have changed.
   void OnChanged();
 
  private:
-  // Nothing of an entry that cannot be read; it is logged once.
+  // Returns the evidence in the entry; empty if it is malformed, which is
+  // logged once.
   std::vector<quarantine::RequestEvidence> Read(const std::string& value);
   void Write(int64_t expected);
 
@@ -50,7 +51,7 @@
   std::string key_;
   ListHandler list_soon_;
   base::Random random_;
-  // At the last listing.
+  // As of the last listing.
   bool writes_ = false;
   bool is_unreadable_ = false;
   net::EventLoop::TimerId timer_ = 0;
--- a/src/libs/fleet/fleet_membership.cc
+++ b/src/libs/fleet/fleet_membership.cc
@@ -19,7 +19,7 @@
 // Changes within this time are reported together.
 constexpr std::chrono::milliseconds kPublishDelay(20);
 
-// The codec of pulls gives bytes; control calls carry JSON.
+// Pull messages are binary, but control calls carry JSON.
 std::string WrapView(const std::string& bytes) {
   return json{{kViewField, absl::Base64Escape(bytes)}}.dump();
 }
--- a/src/libs/fleet/fleet_membership.h
+++ b/src/libs/fleet/fleet_membership.h
@@ -1,5 +1,5 @@
-// Runs the gossip of this node on its UDP socket, and reports the members.
-// Runs on the control thread.
+// Runs the gossip of this node on a UDP socket and reports the members. Runs on
+// the control thread.
 #ifndef FLEET_FLEET_MEMBERSHIP_H_
 #define FLEET_FLEET_MEMBERSHIP_H_
 
@@ -16,7 +16,7 @@
 #include "control_calls/control_listener.h"
 #include "control_calls/peer_keys.h"
 #include "fleet/membership_log.h"
-#include "fleet/seed_keeper.h"
+#include "fleet/seed_manager.h"
 #include "fleet/udp_socket.h"
 #include "membership/gossip.h"
 #include "membership/member.h"
@@ -29,13 +29,13 @@
 class FleetMembership {
  public:
   using Handler = std::function<void(std::vector<membership::Member>)>;
-  // A node holds a higher configuration revision than this one;
-  // `from.control_address` is where to ask for it. Repeated, with another
-  // node, until this one announces that it holds it.
+  // Called when another node holds a higher configuration revision than this
+  // node; it can be fetched from `from.control_address`. Repeated with another
+  // source until this node announces the revision.
   using RevisionHandler =
       std::function<void(uint64_t revision, const membership::Member& from)>;
 
-  // Something was learnt of requests that servers ran when they ended.
+  // Called when evidence on requests running at crashes was received.
   using EvidenceHandler = std::function<void()>;
 
   // The references must outlive this object.
@@ -46,49 +46,52 @@
                   quarantine::CrashLedger& ledger,
                   const settings::NodeSettings& settings,
                   const base::Random& random);
-  // Tells the fleet that this node leaves.
+  // Announces to the fleet that this node leaves.
   ~FleetMembership();
 
-  // Binds the socket for datagrams.
+  // Binds the UDP socket.
   base::Result<bool> Listen(const base::SocketAddress& address);
   const base::SocketAddress& gossip_address() const {
     return socket_->address();
   }
 
-  // Joins the fleet as `self`, and reports all live members after changes.
+  // Joins the fleet as `self` and reports all live members after each change.
   void Start(const membership::Member& self, Handler handler);
-  // Tells the fleet at once what changed in `self`, such as that it drains.
+  // Announces a change of `self` at once, for example that it is draining.
   void Update(const membership::Member& self);
 
   // Set before Start().
   void OnRevisionHeard(RevisionHandler handler);
-  // Tells the fleet that this node holds `revision`; lower ones are ignored.
+  // Announces that this node holds `revision`. Lower revisions than before are
+  // ignored.
   void AnnounceRevision(uint64_t revision);
 
   // Set before Start().
   void OnEvidence(EvidenceHandler handler);
-  // The ledger has something new on these requests, to be told to the fleet.
+  // Announces new evidence that the ledger holds on these requests.
   void AnnounceEvidence(std::span<const base::RequestFingerprint> requests);
 
-  // Other data centres are evacuated than before. Set before Start().
+  // Called when the set of evacuated data centres has changed. Must be set
+  // before Start().
   void OnEvacuations(
       std::function<void(const evacuation::Evacuations&)> handler) {
     evacuations_handler_ = std::move(handler);
   }
-  // This node read from the store which data centres are evacuated.
+  // Announces the evacuated data centres that this node has read from the
+  // store.
   void AnnounceEvacuations(const evacuation::Evacuations& read);
 
-  // The entries beside the seeds in the store; see SeedKeeper. Set before
-  // Start().
-  void OnStoredOthers(SeedKeeper::OthersHandler others) {
-    seeds_.OnOthers(std::move(others));
+  // Called with the store entries that are not seeds; see SeedManager. Must be
+  // set before Start().
+  void OnOtherStoreEntries(SeedManager::OtherEntriesHandler others) {
+    seeds_.OnOtherEntries(std::move(others));
   }
   const std::string& store_prefix() const { return seeds_.prefix(); }
   void ListStoreNow() { seeds_.ListNow(); }
 
-  // All live members as of now, this node included.
+  // Returns all live members at present, including this node.
   std::vector<membership::Member> Members() const;
-  // When another node was last heard; nothing: never.
+  // When the last message from another node was received; nothing if none was.
   std::optional<base::Instant> heard_at() const {
     return gossip_ ? gossip_->heard_at() : std::nullopt;
   }
@@ -112,7 +115,7 @@
   membership::DatagramAuthenticator authenticator_;
   quarantine::CrashLedger& ledger_;
   base::Random random_;
-  SeedKeeper seeds_;
+  SeedManager seeds_;
   membership::RecordCache records_;
   std::unique_ptr<UdpSocket> socket_;
   std::unique_ptr<membership::Gossip> gossip_;
--- a/src/libs/fleet/membership_log.h
+++ b/src/libs/fleet/membership_log.h
@@ -1,4 +1,4 @@
-// Logs members that come and go, a bounded number in each second.
+// Logs members that join and leave, at a limited number of lines per second.
 #ifndef FLEET_MEMBERSHIP_LOG_H_
 #define FLEET_MEMBERSHIP_LOG_H_
 
@@ -14,7 +14,7 @@
  private:
   base::Instant second_began_;
   int logged_ = 0;
-  int omitted_ = 0;  // Told with the next line that is logged.
+  int omitted_ = 0;  // Reported with the next line.
 };
 
 }  // namespace chestnutport::fleet
--- a/src/libs/fleet/request_quarantine.cc
+++ b/src/libs/fleet/request_quarantine.cc
@@ -18,10 +18,12 @@
 using quarantine::VerdictUntil;
 using telemetry::Event;
 
-// Verdicts last for minutes; a second more or less is of no account.
+// Quarantines and suspicions last for seconds to minutes, so that this
+// resolution suffices.
 constexpr std::chrono::seconds kTickInterval(1);
-// Names of nodes that are gone are kept for the lines on their servers' ends.
-constexpr size_t kMostNames = 10000;
+// Names of nodes that are gone are kept for log lines on crashes of their
+// servers.
+constexpr size_t kMaxNames = 10000;
 
 }  // namespace
 
@@ -39,18 +41,18 @@
 
 void RequestQuarantine::SetMembers(
     std::span<const membership::Member> members) {
-  if (names_.size() > kMostNames)
+  if (names_.size() > kMaxNames)
     names_.clear();
   for (const membership::Member& member : members)
     names_[member.id] = member.name;
 }
 
 void RequestQuarantine::OnServerCrash(const quarantine::ServerCrash& crash) {
-  std::vector<RequestFingerprint> told;
+  std::vector<RequestFingerprint> announced;
   for (const RequestEvidence& evidence : ledger_.AddCrash(crash, loop_.now())) {
-    told.push_back(evidence.fingerprint);
+    announced.push_back(evidence.fingerprint);
   }
-  tell_(told);
+  announce_(announced);
   Publish("");
 }
 
@@ -58,19 +60,19 @@
   Refute(fingerprint, "answered");
 }
 
-void RequestQuarantine::OnLearnt() {
+void RequestQuarantine::OnEvidenceReceived() {
   Publish("told");
 }
 
 void RequestQuarantine::Learn(std::span<const RequestEvidence> stored) {
-  std::vector<RequestFingerprint> told;
+  std::vector<RequestFingerprint> announced;
   for (const RequestEvidence& evidence : stored) {
     if (ledger_.Merge(evidence, loop_.now()))
-      told.push_back(evidence.fingerprint);
+      announced.push_back(evidence.fingerprint);
   }
-  if (told.empty())
+  if (announced.empty())
     return;
-  tell_(told);
+  announce_(announced);
   Publish("stored");
 }
 
@@ -83,21 +85,22 @@
                                const std::string& why) {
   if (!ledger_.Refute(fingerprint, loop_.now()))
     return false;
-  tell_({&fingerprint, 1});
+  announce_({&fingerprint, 1});
   Publish(why);
   return true;
 }
 
-std::vector<HeldRequest> RequestQuarantine::Held() const {
-  std::vector<HeldRequest> held;
+std::vector<RequestWithVerdict> RequestQuarantine::RequestsWithVerdict() const {
+  std::vector<RequestWithVerdict> held;
   for (const auto& [fingerprint, verdict] : known_->all()) {
     if (auto evidence = ledger_.Find(fingerprint))
       held.push_back({*std::move(evidence), verdict});
   }
-  std::ranges::sort(held, [](const HeldRequest& a, const HeldRequest& b) {
-    return std::pair(b.verdict.verdict, a.evidence.fingerprint) <
-           std::pair(a.verdict.verdict, b.evidence.fingerprint);
-  });
+  std::ranges::sort(
+      held, [](const RequestWithVerdict& a, const RequestWithVerdict& b) {
+        return std::pair(b.verdict.verdict, a.evidence.fingerprint) <
+               std::pair(a.verdict.verdict, b.evidence.fingerprint);
+      });
   return held;
 }
 
@@ -123,26 +126,26 @@
   const auto before = std::exchange(known_, std::move(verdicts));
   for (const auto& [fingerprint, verdict] : known_->all()) {
     if (before->Of(fingerprint).verdict != verdict.verdict)
-      LogPassed(fingerprint, verdict);
+      LogVerdict(fingerprint, verdict);
   }
   for (const auto& [fingerprint, verdict] : before->all()) {
     if (known_->IsFree(fingerprint))
-      LogEnded(fingerprint, verdict, why);
+      LogVerdictEnded(fingerprint, verdict, why);
   }
   publish_(known_);
 }
 
-void RequestQuarantine::LogEnded(RequestFingerprint fingerprint,
-                                 const VerdictUntil& verdict,
-                                 const std::string& why) {
+void RequestQuarantine::LogVerdictEnded(RequestFingerprint fingerprint,
+                                        const VerdictUntil& verdict,
+                                        const std::string& why) {
   telemetry::LogEvent(Event::kVerdictEnded,
                       {{"fingerprint", fingerprint.ToString()},
                        {"was", std::string(ToString(verdict.verdict))},
                        {"by", why}});
 }
 
-void RequestQuarantine::LogPassed(RequestFingerprint fingerprint,
-                                  const VerdictUntil& verdict) const {
+void RequestQuarantine::LogVerdict(RequestFingerprint fingerprint,
+                                   const VerdictUntil& verdict) const {
   const auto evidence = ledger_.Find(fingerprint);
   const base::Duration left = verdict.until - loop_.now();
   telemetry::LogEvent(
@@ -161,15 +164,15 @@
 
 std::string RequestQuarantine::Describe(const RequestEvidence& evidence) const {
   std::string text;
-  for (const CrashObservation& mark : evidence.crashes) {
-    const auto age =
-        std::chrono::round<std::chrono::milliseconds>(loop_.now() - mark.at);
+  for (const CrashObservation& observation : evidence.crashes) {
+    const auto age = std::chrono::round<std::chrono::milliseconds>(
+        loop_.now() - observation.at);
     const auto run_time =
-        std::chrono::round<std::chrono::milliseconds>(mark.run_time);
-    absl::StrAppend(&text, text.empty() ? "" : " ", NameOf(mark.crash.node),
-                    "/", mark.crash.life, "-", base::FormatDuration(age), "+",
-                    base::FormatDuration(run_time),
-                    mark.is_sole_suspect ? "!" : "");
+        std::chrono::round<std::chrono::milliseconds>(observation.run_time);
+    absl::StrAppend(
+        &text, text.empty() ? "" : " ", NameOf(observation.crash.node), "/",
+        observation.crash.life, "-", base::FormatDuration(age), "+",
+        base::FormatDuration(run_time), observation.is_sole_suspect ? "!" : "");
   }
   return text;
 }
--- a/src/libs/fleet/request_quarantine.h
+++ b/src/libs/fleet/request_quarantine.h
@@ -1,5 +1,6 @@
-// Holds what this node knows of requests that servers ran when they ended, and
-// tells the traffic threads the verdicts. Runs on the control thread.
+// Holds the evidence of this node on requests that were running when servers
+// crashed, and publishes the verdicts to the traffic threads. Runs on the
+// control thread.
 #ifndef FLEET_REQUEST_QUARANTINE_H_
 #define FLEET_REQUEST_QUARANTINE_H_
 
@@ -17,19 +18,20 @@
 
 namespace chestnutport::fleet {
 
-// A request that is not free, as operators are shown it.
-struct HeldRequest {
+// A request that is not free, as shown to operators.
+struct RequestWithVerdict {
   quarantine::RequestEvidence evidence;
   quarantine::VerdictUntil verdict;
 };
 
 class RequestQuarantine {
  public:
-  // Called after each change.
+  // Called after each change of the verdicts.
   using VerdictsHandler =
       std::function<void(const quarantine::SharedVerdicts&)>;
-  // The ledger has something new on these requests, to be told to other nodes.
-  using TellHandler =
+  // Called with requests on which the ledger has new evidence, to be announced
+  // to other nodes.
+  using AnnounceHandler =
       std::function<void(std::span<const base::RequestFingerprint>)>;
 
   // `loop` must outlive this object.
@@ -39,50 +41,51 @@
   quarantine::CrashLedger& ledger() { return ledger_; }
   const quarantine::CrashLedger& ledger() const { return ledger_; }
 
-  // Set before anything is known.
-  void OnTell(TellHandler tell) { tell_ = std::move(tell); }
-  // The names in the lines of verdicts; all members, this node included.
+  // Must be set before any evidence is added.
+  void OnAnnounce(AnnounceHandler announce) { announce_ = std::move(announce); }
+  // Sets the node names used in log lines. `members` are all members, including
+  // this node.
   void SetMembers(std::span<const membership::Member> members);
 
-  // This node's server ended.
+  // Called when this node's server has crashed.
   void OnServerCrash(const quarantine::ServerCrash& crash);
-  // This node's server answered a request that is not free.
+  // Called when this node's server has answered a request that is not free.
   void OnAnswered(base::RequestFingerprint fingerprint);
-  // Other nodes told something new.
-  void OnLearnt();
-  // What the store holds.
+  // Called when the ledger has received new evidence from other nodes.
+  void OnEvidenceReceived();
+  // Adds the evidence read from the store.
   void Learn(std::span<const quarantine::RequestEvidence> stored);
-  // By an operator's wish the request runs like any other again. Returns
-  // whether it did not.
+  // Frees the request at an operator's request. Returns whether there was
+  // evidence against it.
   bool Release(base::RequestFingerprint fingerprint, const std::string& who);
 
-  // All that are not free; those in quarantine first.
-  std::vector<HeldRequest> Held() const;
-  // The node's name; its id if it is not known.
+  // Returns all requests that are not free, quarantined ones first.
+  std::vector<RequestWithVerdict> RequestsWithVerdict() const;
+  // Returns the name of the node, or its id if the name is not known.
   std::string NameOf(base::NodeId node) const;
-  // How many have this verdict.
+  // Returns the number of requests with this verdict.
   size_t CountOf(quarantine::Verdict verdict) const;
 
  private:
-  // Refutes what is known against the request, and tells it. Returns whether
-  // anything was known.
+  // Refutes all crashes known of the request and announces that. Returns
+  // whether any was known.
   bool Refute(base::RequestFingerprint fingerprint, const std::string& why);
   void Tick();
-  // Publishes the verdicts, and logs each that changed. `why`: what may have
-  // ended one.
+  // Publishes the verdicts and logs each change. `why` is logged as the reason
+  // if a verdict has ended.
   void Publish(const std::string& why);
-  void LogPassed(base::RequestFingerprint fingerprint,
-                 const quarantine::VerdictUntil& verdict) const;
-  static void LogEnded(base::RequestFingerprint fingerprint,
-                       const quarantine::VerdictUntil& verdict,
-                       const std::string& why);
-  // By which ends: node, life of its server, how long ago, how long the request
-  // had run, and a mark if no other suspect ran there.
+  void LogVerdict(base::RequestFingerprint fingerprint,
+                  const quarantine::VerdictUntil& verdict) const;
+  static void LogVerdictEnded(base::RequestFingerprint fingerprint,
+                              const quarantine::VerdictUntil& verdict,
+                              const std::string& why);
+  // Lists the crashes: node, life of its server, age, run time of the request,
+  // and "!" if it was the only suspect.
   std::string Describe(const quarantine::RequestEvidence& evidence) const;
 
   net::EventLoop& loop_;
   VerdictsHandler publish_;
-  TellHandler tell_;
+  AnnounceHandler announce_;
   quarantine::CrashLedger ledger_;
   quarantine::SharedVerdicts known_;  // As published.
   absl::flat_hash_map<base::NodeId, std::string> names_;
--- a/src/libs/fleet/seed_manager.cc
+++ b/src/libs/fleet/seed_manager.cc
@@ -1,4 +1,4 @@
-#include "fleet/seed_keeper.h"
+#include "fleet/seed_manager.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -15,9 +15,10 @@
 using nlohmann::json;
 
 constexpr std::chrono::seconds kTimeToLive(15);
-constexpr size_t kContacts = 3;
-// Unreadable entries that are logged, each once: another writer may make many.
-constexpr size_t kUnreadableKept = 32;
+constexpr size_t kMaxContacts = 3;
+// Limit on the unreadable entries that are logged, each once, since another
+// writer may create many.
+constexpr size_t kMaxLoggedUnreadable = 32;
 
 struct Seed {
   std::string id;
@@ -40,10 +41,10 @@
 
 }  // namespace
 
-SeedKeeper::SeedKeeper(net::EventLoop& loop,
-                       store::StoreClient& store,
-                       const settings::NodeSettings& settings,
-                       const base::Random& random)
+SeedManager::SeedManager(net::EventLoop& loop,
+                         store::StoreClient& store,
+                         const settings::NodeSettings& settings,
+                         const base::Random& random)
     : loop_(loop),
       store_(store),
       prefix_(absl::StrCat("chestnutport/", settings.fleet, "/seeds/")),
@@ -51,71 +52,73 @@
       contacts_(settings.first_contacts),
       random_(random) {}
 
-SeedKeeper::~SeedKeeper() {
+SeedManager::~SeedManager() {
   loop_.Cancel(timer_);
-  loop_.Cancel(greet_timer_);
+  loop_.Cancel(ping_timer_);
 }
 
-void SeedKeeper::Start(const membership::Member& self, ContactHandler contact) {
+void SeedManager::Start(const membership::Member& self,
+                        ContactHandler contact) {
   self_ = self;
   members_ = {self};
   contact_ = std::move(contact);
   for (base::SocketAddress& address : contacts_)
     address.port = self_.gossip_address.port;
-  Greet();
-  RunAfter(search_.FirstWait(random_));
+  PingContacts();
+  RunAfter(search_.FirstDelay(random_));
 }
 
-void SeedKeeper::Greet() {
+void SeedManager::PingContacts() {
   if (!IsAlone())
     return;
   for (const base::SocketAddress& address : contacts_)
     contact_(address);
-  loop_.Cancel(greet_timer_);
-  greet_timer_ = loop_.CallAfter(search_.NextGreeting(), [this] { Greet(); });
+  loop_.Cancel(ping_timer_);
+  ping_timer_ =
+      loop_.CallAfter(search_.NextPingInterval(), [this] { PingContacts(); });
 }
 
-void SeedKeeper::SetMembers(const std::vector<membership::Member>& members) {
+void SeedManager::SetMembers(const std::vector<membership::Member>& members) {
   members_ = members;
 }
 
-void SeedKeeper::RunAfter(base::Duration delay) {
+void SeedManager::RunAfter(base::Duration delay) {
   loop_.Cancel(timer_);
   timer_ = loop_.CallAfter(delay, [this] { Run(); });
 }
 
-void SeedKeeper::Run() {
+void SeedManager::Run() {
   const bool has_duty = duties::SeedDuty(self_, members_).has_value();
   if (!has_duty)
     lease_ = 0;
   if (!IsAlone() && !has_duty) {
-    RunAfter(search_.Wait(false, random_));
+    RunAfter(search_.NextDelay(false, random_));
     return;
   }
-  const SeedSearch::Listing listing = search_.Next(IsAlone());
+  const SeedSearch::Listing listing = search_.NextListing(IsAlone());
   store_.ListPrefix(
       prefix_,
       listing == SeedSearch::Listing::kLatest ? store::Freshness::kLatest
                                               : store::Freshness::kMayBeOld,
       [this, listing](base::Result<std::vector<store::StoreEntry>> entries) {
-        RunAfter(search_.Wait(IsAlone(), random_));
+        RunAfter(search_.NextDelay(IsAlone(), random_));
         if (entries)
           OnEntries(listing, std::move(entries).value());
       });
 }
 
-void SeedKeeper::ListNow() {
+void SeedManager::ListNow() {
   if (contact_)
     RunAfter({});
 }
 
-void SeedKeeper::OnEntries(SeedSearch::Listing listing,
-                           std::vector<store::StoreEntry> entries) {
-  TakeOthers(entries);
+void SeedManager::OnEntries(SeedSearch::Listing listing,
+                            std::vector<store::StoreEntry> entries) {
+  ExtractOtherEntries(entries);
   ContactUnknown(entries);
   const bool is_old = listing == SeedSearch::Listing::kMayBeOld;
   if (IsAlone() && entries.empty() && is_old) {
-    RunAfter(search_.WaitAfterNobody(random_));
+    RunAfter(search_.DelayAfterEmptyListing(random_));
     return;
   }
   const bool may_join_others = IsAlone() && !entries.empty() && !was_alone_;
@@ -123,30 +126,31 @@
   if (may_join_others)
     return;
   if (const auto place = duties::SeedDuty(self_, members_))
-    KeepEntry(*place, entries);
+    MaintainEntry(*place, entries);
 }
 
-void SeedKeeper::TakeOthers(std::vector<store::StoreEntry>& entries) {
+void SeedManager::ExtractOtherEntries(std::vector<store::StoreEntry>& entries) {
   const auto others = std::stable_partition(
       entries.begin(), entries.end(),
       [this](const auto& entry) { return IsSeed(entry); });
-  const bool keeps_first = duties::SeedDuty(self_, members_) == size_t{0};
-  if (others_)
-    others_({others, entries.end()}, keeps_first);
+  const bool maintains_first = duties::SeedDuty(self_, members_) == size_t{0};
+  if (on_other_entries_)
+    on_other_entries_({others, entries.end()}, maintains_first);
   entries.erase(others, entries.end());
 }
 
-// Seeds lie one level further down, by data centre.
-bool SeedKeeper::IsSeed(const store::StoreEntry& entry) const {
+// Seeds are one level further down, below their data centre.
+bool SeedManager::IsSeed(const store::StoreEntry& entry) const {
   return entry.key.find('/', prefix_.size()) != std::string::npos;
 }
 
-void SeedKeeper::ContactUnknown(const std::vector<store::StoreEntry>& entries) {
+void SeedManager::ContactUnknown(
+    const std::vector<store::StoreEntry>& entries) {
   std::vector<Seed> unknown;
   for (const store::StoreEntry& entry : entries) {
     const auto seed = ReadSeed(entry.value);
     if (!seed)
-      NoteUnreadable(entry.key);
+      LogUnreadable(entry.key);
     const bool is_known =
         seed && std::ranges::any_of(members_, [&](const auto& member) {
           return member.id.ToString() == seed->id;
@@ -155,7 +159,7 @@
       unknown.push_back(*seed);
   }
   std::ranges::shuffle(unknown, random_);
-  unknown.resize(std::min(unknown.size(), kContacts));
+  unknown.resize(std::min(unknown.size(), kMaxContacts));
   if (!IsAlone()) {
     for (const Seed& seed : unknown)
       contact_(seed.gossip_address);
@@ -166,20 +170,20 @@
   contacts_.clear();
   for (const Seed& seed : unknown)
     contacts_.push_back(seed.gossip_address);
-  search_.RestartGreeting();
-  Greet();
+  search_.ResetPingInterval();
+  PingContacts();
 }
 
-void SeedKeeper::NoteUnreadable(const std::string& key) {
-  const bool is_new =
-      unreadable_.size() < kUnreadableKept && unreadable_.insert(key).second;
+void SeedManager::LogUnreadable(const std::string& key) {
+  const bool is_new = unreadable_.size() < kMaxLoggedUnreadable &&
+                      unreadable_.insert(key).second;
   if (is_new)
     telemetry::LogEvent(telemetry::Event::kStoreEntryUnreadable,
                         {{"key", key}});
 }
 
-void SeedKeeper::KeepEntry(size_t place,
-                           const std::vector<store::StoreEntry>& entries) {
+void SeedManager::MaintainEntry(size_t place,
+                                const std::vector<store::StoreEntry>& entries) {
   const std::string key = absl::StrCat(prefix_, self_.data_centre, "/", place);
   const auto found = std::ranges::find(entries, key, &store::StoreEntry::key);
   const int64_t revision = found == entries.end() ? 0 : found->revision;
@@ -201,14 +205,14 @@
   }
 }
 
-// A write that loses to another node's, or whose answer is lost, is made up
-// for by the next run.
-void SeedKeeper::WriteEntry(const std::string& key, int64_t revision) {
+// A write that conflicts with that of another node, or whose response is lost,
+// is repeated by the next run.
+void SeedManager::WriteEntry(const std::string& key, int64_t revision) {
   store_.CompareAndSwap(key, revision, EntryText(), lease_,
                         [](base::Result<bool>) {});
 }
 
-std::string SeedKeeper::EntryText() const {
+std::string SeedManager::EntryText() const {
   return json{{"id", self_.id.ToString()},
               {"gossip", self_.gossip_address.ToString()}}
       .dump();
--- a/src/libs/fleet/seed_manager.h
+++ b/src/libs/fleet/seed_manager.h
@@ -1,7 +1,8 @@
-// Finds the first members of the fleet through a few entries in the store, and
-// keeps one of them if that is this node's duty. Runs on the control thread.
-#ifndef FLEET_SEED_KEEPER_H_
-#define FLEET_SEED_KEEPER_H_
+// Discovers the first members of the fleet through seed entries in the store,
+// and maintains one of the entries if that is this node's duty. Runs on the
+// control thread.
+#ifndef FLEET_SEED_MANAGER_H_
+#define FLEET_SEED_MANAGER_H_
 
 #include <functional>
 #include <set>
@@ -17,50 +18,54 @@
 
 namespace chestnutport::fleet {
 
-// Calls to the store: one listing for each starting node, and two calls for
-// each entry in each SeedSearch::kDutyInterval, whatever the size of the fleet.
-class SeedKeeper {
+// Costs one listing for each starting node, and two store calls for each entry
+// in each SeedSearch::kListingInterval, whatever the size of the fleet.
+class SeedManager {
  public:
   using ContactHandler = std::function<void(const base::SocketAddress&)>;
-  // Entries below the prefix that are no seeds; `keeps_first`: this node keeps
-  // the first entry of its data centre.
-  using OthersHandler =
+  // Called with the entries below the prefix that are not seeds.
+  // `maintains_first` is whether this node maintains the first entry of its
+  // data centre.
+  using OtherEntriesHandler =
       std::function<void(const std::vector<store::StoreEntry>& others,
-                         bool keeps_first)>;
+                         bool maintains_first)>;
 
-  // `loop` and `store` must outlive the keeper.
-  SeedKeeper(net::EventLoop& loop,
-             store::StoreClient& store,
-             const settings::NodeSettings& settings,
-             const base::Random& random);
-  ~SeedKeeper();
+  // `loop` and `store` must outlive this object.
+  SeedManager(net::EventLoop& loop,
+              store::StoreClient& store,
+              const settings::NodeSettings& settings,
+              const base::Random& random);
+  ~SeedManager();
 
-  // Where the entries of the fleet lie in the store.
+  // Key prefix of the fleet's entries in the store.
   const std::string& prefix() const { return prefix_; }
   // Set before Start().
-  void OnOthers(OthersHandler others) { others_ = std::move(others); }
+  void OnOtherEntries(OtherEntriesHandler others) {
+    on_other_entries_ = std::move(others);
+  }
   // Lists the entries now.
   void ListNow();
 
-  // `contact` is called with the gossip address of each seed to greet.
+  // Calls `contact` with the gossip address of each seed to ping.
   void Start(const membership::Member& self, ContactHandler contact);
-  // All live members, this node included.
+  // Sets the live members, including this node.
   void SetMembers(const std::vector<membership::Member>& members);
 
  private:
   bool IsAlone() const { return members_.size() <= 1; }
-  // Greets those that were named, again and again until one is known.
-  void Greet();
+  // Pings the known contacts repeatedly until a member is found.
+  void PingContacts();
   void Run();
   void RunAfter(base::Duration delay);
   void OnEntries(duties::SeedSearch::Listing listing,
                  std::vector<store::StoreEntry> entries);
-  // Tells of the entries that are no seeds, and takes them out.
-  void TakeOthers(std::vector<store::StoreEntry>& entries);
+  // Reports the entries that are not seeds and removes them from `entries`.
+  void ExtractOtherEntries(std::vector<store::StoreEntry>& entries);
   bool IsSeed(const store::StoreEntry& entry) const;
   void ContactUnknown(const std::vector<store::StoreEntry>& entries);
-  void NoteUnreadable(const std::string& key);
-  void KeepEntry(size_t place, const std::vector<store::StoreEntry>& entries);
+  void LogUnreadable(const std::string& key);
+  void MaintainEntry(size_t place,
+                     const std::vector<store::StoreEntry>& entries);
   void WriteEntry(const std::string& key, int64_t revision);
   std::string EntryText() const;
 
@@ -68,20 +73,22 @@
   store::StoreClient& store_;
   std::string prefix_;
   duties::SeedSearch search_;
-  // To be greeted: of the settings, then those that the store named.
+  // Contacts to ping: those in the settings, then those found in the store.
   std::vector<base::SocketAddress> contacts_;
   base::Random random_;
   membership::Member self_;
   ContactHandler contact_;
-  OthersHandler others_;
+  OtherEntriesHandler on_other_entries_;
   std::vector<membership::Member> members_;
   store::LeaseId lease_ = 0;
-  bool was_alone_ = false;            // Also after the seeds were greeted.
-  std::set<std::string> unreadable_;  // Keys that were logged.
+  // Whether the node was alone at the last listing, after which it pinged the
+  // seeds found.
+  bool was_alone_ = false;
+  std::set<std::string> unreadable_;  // Keys already logged.
   net::EventLoop::TimerId timer_ = 0;
-  net::EventLoop::TimerId greet_timer_ = 0;
+  net::EventLoop::TimerId ping_timer_ = 0;
 };
 
 }  // namespace chestnutport::fleet
 
-#endif  // FLEET_SEED_KEEPER_H_
+#endif  // FLEET_SEED_MANAGER_H_
--- a/src/libs/fleet/udp_socket.cc
+++ b/src/libs/fleet/udp_socket.cc
@@ -12,8 +12,8 @@
 namespace chestnutport::fleet {
 namespace {
 
-// More than one round of datagrams waits for the next round, so that a flood
-// does not starve the loop's other work.
+// Datagrams beyond this number wait for the next iteration of the loop, so that
+// a flood does not starve its other work.
 constexpr int kDatagramsPerRound = 256;
 
 sockaddr_in ToRaw(const base::SocketAddress& address) {
@@ -63,7 +63,7 @@
 }
 
 void UdpSocket::ReceiveAll() {
-  char buffer[kLargestDatagram + 1];
+  char buffer[kMaxDatagramSize + 1];
   for (int i = 0; i < kDatagramsPerRound; ++i) {
     sockaddr_in raw{};
     socklen_t size = sizeof(raw);
@@ -71,7 +71,7 @@
                                       reinterpret_cast<sockaddr*>(&raw), &size);
     if (received < 0)
       return;
-    if (static_cast<size_t>(received) > kLargestDatagram)
+    if (static_cast<size_t>(received) > kMaxDatagramSize)
       continue;
     const base::SocketAddress from{ntohl(raw.sin_addr.s_addr),
                                    ntohs(raw.sin_port)};
--- a/src/libs/fleet/udp_socket.h
+++ b/src/libs/fleet/udp_socket.h
@@ -20,11 +20,10 @@
   using Handler = std::function<void(const base::SocketAddress& from,
                                      std::string_view datagram)>;
 
-  // The largest datagram that is sent or accepted, in bytes: it fits an
-  // Ethernet frame.
-  static constexpr size_t kLargestDatagram = 1400;
+  // Limit in bytes of sent and accepted datagrams; fits an Ethernet frame.
+  static constexpr size_t kMaxDatagramSize = 1400;
 
-  // Port zero lets the kernel choose. `loop` must outlive the socket.
+  // Port zero lets the kernel choose a port. `loop` must outlive the socket.
   static base::Result<std::unique_ptr<UdpSocket>> Open(
       net::EventLoop& loop,
       const base::SocketAddress& address,
--- a/src/libs/node/control.cc
+++ b/src/libs/node/control.cc
@@ -160,16 +160,17 @@
       [this](uint64_t revision, const membership::Member& from) {
         configuration_.OnRevisionHeard(revision, from);
       });
-  membership_.OnStoredOthers(
+  membership_.OnOtherStoreEntries(
       [this](const std::vector<store::StoreEntry>& others, bool keeps_first) {
         evidence_store_.OnListed(others, keeps_first);
       });
-  membership_.OnEvidence([this] { quarantine_.OnLearnt(); });
+  membership_.OnEvidence([this] { quarantine_.OnEvidenceReceived(); });
   membership_.OnEvacuations(
       [this](const evacuation::Evacuations& held) { OnEvacuations(held); });
-  quarantine_.OnTell([this](std::span<const base::RequestFingerprint> told) {
-    membership_.AnnounceEvidence(told);
-  });
+  quarantine_.OnAnnounce(
+      [this](std::span<const base::RequestFingerprint> told) {
+        membership_.AnnounceEvidence(told);
+      });
   membership_.Start(self_, [this](std::vector<membership::Member> members) {
     OnMembers(std::move(members));
   });
--- a/src/libs/operators/operator_quarantine.cc
+++ b/src/libs/operators/operator_quarantine.cc
@@ -19,7 +19,7 @@
 }
 
 json Describe(const fleet::RequestQuarantine& quarantine,
-              const fleet::HeldRequest& held,
+              const fleet::RequestWithVerdict& held,
               base::Instant now) {
   json ends = json::array();
   for (const quarantine::CrashObservation& mark : held.evidence.crashes) {
@@ -50,7 +50,7 @@
 void AnswerQuarantine(const OperatedNode& node, net::Reply reply) {
   const fleet::RequestQuarantine& quarantine = node.quarantine;
   json requests = json::array();
-  for (const fleet::HeldRequest& held : quarantine.Held())
+  for (const fleet::RequestWithVerdict& held : quarantine.RequestsWithVerdict())
     requests.push_back(Describe(quarantine, held, base::Clock::now()));
   SendJson(reply, {{"requests", requests}});
 }
--- a/tests/auto/duties/seed_search_test.cc
+++ b/tests/auto/duties/seed_search_test.cc
@@ -1,4 +1,4 @@
-// Which listings a node asks the store for while it looks for the fleet.
+// Listings and pings of a node that looks for the fleet.
 #include "duties/seed_search.h"
 
 #include <catch2/catch.hpp>
@@ -11,68 +11,68 @@
 
 constexpr std::chrono::milliseconds kLongestWait(5000);
 
-TEST_CASE("a node starts where the store does not count old listings") {
+TEST_CASE("a node starts with a store that does not count stale listings") {
   base::Random random(1);
   SeedSearch search(false, kLongestWait);
 
-  SECTION("beside a running fleet one old listing is all, and at once") {
-    CHECK(search.FirstWait(random) == Duration::zero());
-    CHECK(search.Next(true) == Listing::kMayBeOld);
-    CHECK(search.Next(false) == Listing::kMayBeOld);
+  SECTION("beside a running fleet it makes one stale listing at once") {
+    CHECK(search.FirstDelay(random) == Duration::zero());
+    CHECK(search.NextListing(true) == Listing::kMayBeOld);
+    CHECK(search.NextListing(false) == Listing::kMayBeOld);
   }
-  SECTION("where it names nobody, or nobody who answers, one of now follows") {
-    CHECK(search.Next(true) == Listing::kMayBeOld);
-    CHECK(search.WaitAfterNobody(random) <= kLongestWait / 5);
-    CHECK(search.Next(true) == Listing::kLatest);
-    CHECK(search.Next(true) == Listing::kLatest);
+  SECTION("a current listing follows one without seeds or reachable seeds") {
+    CHECK(search.NextListing(true) == Listing::kMayBeOld);
+    CHECK(search.DelayAfterEmptyListing(random) <= kLongestWait / 5);
+    CHECK(search.NextListing(true) == Listing::kLatest);
+    CHECK(search.NextListing(true) == Listing::kLatest);
 
-    SECTION("and an old one again once others are known") {
-      CHECK(search.Next(false) == Listing::kMayBeOld);
+    SECTION("and a stale one again once other members are known") {
+      CHECK(search.NextListing(false) == Listing::kMayBeOld);
     }
   }
 }
 
-TEST_CASE("a store that counts all listings is asked for those of now") {
+TEST_CASE("a store that counts all listings gets requests for current ones") {
   base::Random random(1);
   SeedSearch search(true, kLongestWait);
-  CHECK(search.Next(true) == Listing::kLatest);
+  CHECK(search.NextListing(true) == Listing::kLatest);
 
-  SECTION("by nodes that start together, not at once") {
+  SECTION("spread over time by nodes that start together") {
     int late = 0;
     for (int i = 0; i < 100; ++i)
-      late += search.FirstWait(random) > kLongestWait / 10 ? 1 : 0;
+      late += search.FirstDelay(random) > kLongestWait / 10 ? 1 : 0;
     CHECK(late > 30);
     CHECK(late < 70);
   }
 }
 
-TEST_CASE("a node that stays alone asks less and less often") {
+TEST_CASE("a node that stays alone backs off") {
   base::Random random(1);
   SeedSearch search(false, kLongestWait);
   Duration first_minute{};
   int listings = 0;
   for (; first_minute < std::chrono::minutes(1); ++listings)
-    first_minute += search.Wait(true, random);
+    first_minute += search.NextDelay(true, random);
   CHECK(listings < 20);
 
-  SECTION("and begins anew when it has known others meanwhile") {
-    search.Wait(false, random);
-    CHECK(search.Wait(true, random) <= std::chrono::milliseconds(1500));
+  SECTION("and restarts its backoff after it has known other members") {
+    search.NextDelay(false, random);
+    CHECK(search.NextDelay(true, random) <= std::chrono::milliseconds(1500));
   }
 }
 
-TEST_CASE("those that do not listen yet are greeted again, soon at first") {
+TEST_CASE("unreachable contacts are pinged again with growing intervals") {
   SeedSearch search(false, kLongestWait);
   Duration at{};
-  int greetings = 0;
-  for (; at < std::chrono::milliseconds(300); ++greetings)
-    at += search.NextGreeting();
-  CHECK(greetings == 4);  // After 0, 40, 120 and 280 ms.
+  int pings = 0;
+  for (; at < std::chrono::milliseconds(300); ++pings)
+    at += search.NextPingInterval();
+  CHECK(pings == 4);  // After 0, 40, 120 and 280 ms.
 
-  SECTION("and the intervals begin anew with somebody else to greet") {
-    const Duration before = search.NextGreeting();
-    search.RestartGreeting();
-    CHECK(search.NextGreeting() < before);
+  SECTION("and the intervals restart with new contacts") {
+    const Duration before = search.NextPingInterval();
+    search.ResetPingInterval();
+    CHECK(search.NextPingInterval() < before);
   }
 }
 
--- a/tests/benchmarks/control/bench_control.cc
+++ b/tests/benchmarks/control/bench_control.cc
@@ -30,7 +30,7 @@
     MeasureLoss(report, members, 0.05);
     std::fprintf(stderr, "measured %zu members\n", members);
     if (const std::string file = absl::GetFlag(FLAGS_results); !file.empty())
-      report.WriteFile(file);  // A run that is cut short keeps these.
+      report.WriteFile(file);  // Keeps partial results of an interrupted run.
   }
   const size_t bad_days =
       std::min(largest, static_cast<size_t>(absl::GetFlag(FLAGS_bad_days)));
--- a/tests/benchmarks/control/gossip_scenarios.cc
+++ b/tests/benchmarks/control/gossip_scenarios.cc
@@ -44,7 +44,8 @@
                       base::AbslView(figure));
 }
 
-// Measures what a fleet sends and computes from now on.
+// Measures the traffic and the processor time of a fleet from its construction
+// on.
 class Cost {
  public:
   explicit Cost(GossipFleet& fleet)
@@ -84,10 +85,11 @@
   std::chrono::duration<double> processor_;
 };
 
-// When the last node of a fleet no longer sends work to some members.
-class OutWatch {
+// Records when the last node of a fleet stopped sending requests to some
+// members.
+class RemovalObserver {
  public:
-  OutWatch(GossipFleet& fleet, const std::vector<size_t>& slots)
+  RemovalObserver(GossipFleet& fleet, const std::vector<size_t>& slots)
       : fleet_(fleet), start_(fleet.now()) {
     for (const size_t slot : slots)
       left_[fleet.member(slot).id] = std::vector<bool>(fleet.size(), false);
@@ -95,16 +97,16 @@
       OnChange(observer, change);
     });
   }
-  ~OutWatch() { fleet_.set_on_change(nullptr); }
-  OutWatch(const OutWatch&) = delete;
-  OutWatch& operator=(const OutWatch&) = delete;
+  ~RemovalObserver() { fleet_.set_on_change(nullptr); }
+  RemovalObserver(const RemovalObserver&) = delete;
+  RemovalObserver& operator=(const RemovalObserver&) = delete;
 
-  // Seconds until the last node that is up knew of the last member; -1 if one
-  // does not know.
+  // Returns the seconds until the last running node learned of the last member,
+  // or -1 if a node did not.
   double Last() const {
-    for (const auto& [id, told] : left_) {
-      for (size_t slot = 0; slot < told.size(); ++slot) {
-        if (!told[slot] && fleet_.IsUp(slot) && fleet_.member(slot).id != id)
+    for (const auto& [id, reached] : left_) {
+      for (size_t slot = 0; slot < reached.size(); ++slot) {
+        if (!reached[slot] && fleet_.IsUp(slot) && fleet_.member(slot).id != id)
           return -1;
       }
     }
@@ -130,9 +132,9 @@
   absl::flat_hash_map<base::NodeId, std::vector<bool>> left_;
 };
 
-void ReportOut(FigureReport& report,
-               const std::string& name,
-               const OutWatch& watch) {
+void ReportRemoval(FigureReport& report,
+                   const std::string& name,
+                   const RemovalObserver& watch) {
   const double last = watch.Last();
   report.Add({.name = name,
               .value = last,
@@ -141,9 +143,9 @@
               .at_least = 0});
 }
 
-void ReportFalseAlarms(FigureReport& report,
-                       std::string_view scenario,
-                       GossipFleet& fleet) {
+void ReportFalsePositives(FigureReport& report,
+                          std::string_view scenario,
+                          GossipFleet& fleet) {
   const test::FalsePositives& alarms = fleet.false_positives();
   const auto count = [&](std::string_view figure, uint64_t value) {
     report.Add({Name(scenario, fleet.size(), figure),
@@ -157,7 +159,8 @@
               .at_most = kLongestFalseGone});
 }
 
-// Seconds until all views are equal and right; -1: not within the limit.
+// Reports the seconds until all views are equal and correct, or -1 if they were
+// not within `limit`.
 void ReportConvergence(FigureReport& report,
                        const std::string& name,
                        GossipFleet& fleet,
@@ -219,26 +222,26 @@
   fleet.RunFor(seconds(3));
   const auto drained = Sample(members, 5, 37);
   {
-    const OutWatch watch(fleet, drained);
+    const RemovalObserver watch(fleet, drained);
     for (const size_t slot : drained)
       fleet.Drain(slot);
     fleet.RunFor(seconds(5));
-    ReportOut(report, Name("drain", members, "last node"), watch);
+    ReportRemoval(report, Name("drain", members, "last node"), watch);
   }
   const auto failed = Sample(members, 5, 53);
   {
-    const OutWatch watch(fleet, failed);
+    const RemovalObserver watch(fleet, failed);
     for (const size_t slot : failed)
       fleet.Kill(slot);
     fleet.RunFor(seconds(8));
-    ReportOut(report, Name("failure", members, "last node"), watch);
+    ReportRemoval(report, Name("failure", members, "last node"), watch);
   }
   const size_t announcer = members / 2;
   const base::Instant start = fleet.now();
   base::Instant last = start;
-  size_t heard = 0;
+  size_t reached_count = 0;
   fleet.set_on_revision([&](size_t observer, uint64_t revision) {
-    ++heard;
+    ++reached_count;
     last = fleet.now();
     fleet.AnnounceRevision(observer, revision);
   });
@@ -248,7 +251,7 @@
   for (size_t slot = 0; slot < members; ++slot)
     up += fleet.IsUp(slot) ? 1 : 0;
   report.Add({.name = Name("revision", members, "last node"),
-              .value = heard + 1 == up ? Seconds(last - start) : -1,
+              .value = reached_count + 1 == up ? Seconds(last - start) : -1,
               .unit = "s",
               .at_most = kLongestRevision,
               .at_least = 0});
@@ -260,17 +263,18 @@
   const std::string scenario = absl::StrCat("loss ", 100 * loss, "%");
   const auto failed = Sample(members, 3, 53);
   {
-    const OutWatch watch(fleet, failed);
+    const RemovalObserver watch(fleet, failed);
     for (const size_t slot : failed)
       fleet.Kill(slot);
     fleet.RunFor(seconds(10));
-    ReportOut(report, Name(scenario, members, "failure last node"), watch);
+    ReportRemoval(report, Name(scenario, members, "failure last node"), watch);
   }
-  ReportFalseAlarms(report, scenario, fleet);
+  ReportFalsePositives(report, scenario, fleet);
 }
 
-// A third of the fleet in an hour, over one minute of it. Each VM drains, its
-// node leaves 10 s later, and another starts in its place 5 s after that.
+// Simulates one minute of an upgrade that replaces a third of the fleet in an
+// hour. Each VM drains, its node leaves 10 s later, and a new node starts there
+// after another 5 s.
 void MeasureUpgrade(FigureReport& report, size_t members) {
   GossipFleet fleet({.members = members, .seed = 4});
   fleet.RunFor(seconds(3));
@@ -290,7 +294,7 @@
     fleet.RunFor(step);
   }
   cost.Report(report, "rolling upgrade");
-  ReportFalseAlarms(report, "rolling upgrade", fleet);
+  ReportFalsePositives(report, "rolling upgrade", fleet);
 }
 
 void MeasureRack(FigureReport& report, size_t members) {
@@ -301,13 +305,13 @@
        i < std::min<size_t>(30, members / 2 / fleet.data_centres()); ++i)
     rack.push_back(i * fleet.data_centres());
   const Cost cost(fleet);
-  const OutWatch watch(fleet, rack);
+  const RemovalObserver watch(fleet, rack);
   for (const size_t slot : rack)
     fleet.Kill(slot);
   fleet.RunFor(seconds(20));
   cost.Report(report, "rack");
-  ReportOut(report, Name("rack", members, "last node"), watch);
-  ReportFalseAlarms(report, "rack", fleet);
+  ReportRemoval(report, Name("rack", members, "last node"), watch);
+  ReportFalsePositives(report, "rack", fleet);
 }
 
 void MeasureDataCentre(FigureReport& report, size_t members) {
@@ -320,12 +324,13 @@
   }
   {
     const Cost cost(fleet);
-    const OutWatch watch(fleet, lost);
+    const RemovalObserver watch(fleet, lost);
     for (const size_t slot : lost)
       fleet.Kill(slot);
     fleet.RunFor(seconds(30));
     cost.Report(report, "data centre gone");
-    ReportOut(report, Name("data centre gone", members, "last node"), watch);
+    ReportRemoval(report, Name("data centre gone", members, "last node"),
+                  watch);
   }
   const Cost cost(fleet);
   for (const size_t slot : lost)
@@ -334,18 +339,18 @@
                     fleet, seconds(60));
   fleet.RunFor(seconds(20));
   cost.Report(report, "data centre back");
-  ReportFalseAlarms(report, "data centre", fleet);
+  ReportFalsePositives(report, "data centre", fleet);
 }
 
 void MeasureRegions(FigureReport& report, size_t members) {
   GossipFleet fleet({.members = members, .seed = 7});
   fleet.RunFor(seconds(3));
-  const Cost cut_cost(fleet);
+  const Cost partition_cost(fleet);
   fleet.Partition([&](size_t a, size_t b) {
     return (fleet.RegionOf(a) < 2) != (fleet.RegionOf(b) < 2);
   });
   fleet.RunFor(minutes(3));
-  cut_cost.Report(report, "regions cut");
+  partition_cost.Report(report, "regions cut");
   const Cost cost(fleet);
   fleet.Partition(nullptr);
   fleet.false_positives() = {};
@@ -353,11 +358,11 @@
                     fleet, seconds(60));
   fleet.RunFor(seconds(30));
   cost.Report(report, "regions healed");
-  ReportFalseAlarms(report, "regions healed", fleet);
+  ReportFalsePositives(report, "regions healed", fleet);
 }
 
-// All nodes start within SeedSearch::kStartSpread. The first two of each data
-// centre are its seeds; each node greets three that were there before it.
+// All nodes start within SeedSearch::kStartJitter. The first two of each data
+// centre are its seeds; each node pings three seeds that started before it.
 void MeasureMassStart(FigureReport& report, size_t members) {
   GossipFleet fleet({.members = members, .seed = 8, .converged = false});
   for (size_t slot = 0; slot < members; ++slot)
@@ -365,7 +370,7 @@
   const Cost cost(fleet);
   const size_t seeds = fleet.data_centres() * duties::kSeedsPerDataCentre;
   const base::Duration step =
-      base::Duration(duties::SeedSearch::kStartSpread) / members;
+      base::Duration(duties::SeedSearch::kStartJitter) / members;
   for (size_t slot = 0; slot < members; ++slot) {
     const size_t known = std::max<size_t>(1, std::min(seeds, slot));
     fleet.Start(slot, (slot * 31 + 7) % known);
@@ -377,21 +382,21 @@
                     seconds(60));
   fleet.RunFor(seconds(20));
   cost.Report(report, "mass start");
-  size_t keepers = 0;
+  size_t maintainers = 0;
   for (size_t slot = 0; slot < members; ++slot) {
     const auto view = fleet.gossip(slot).Members();
-    keepers += duties::SeedDuty(fleet.member(slot), view) ? 1 : 0;
+    maintainers += duties::SeedDuty(fleet.member(slot), view) ? 1 : 0;
   }
-  constexpr double kCallsOfKeeper = 2;
-  const double steady = static_cast<double>(keepers) * kCallsOfKeeper /
-                        Seconds(duties::SeedSearch::kDutyInterval);
+  constexpr double kCallsPerEntry = 2;
+  const double steady = static_cast<double>(maintainers) * kCallsPerEntry /
+                        Seconds(duties::SeedSearch::kListingInterval);
   report.Add({.name = Name("store", members, "steady calls"),
               .value = steady,
               .unit = "1/s fleet",
               .at_most = kLargestStoreRate});
   report.Add({.name = Name("store", members, "reads while all start"),
               .value = static_cast<double>(members) /
-                       Seconds(duties::SeedSearch::kStartSpread),
+                       Seconds(duties::SeedSearch::kStartJitter),
               .unit = "1/s fleet"});
 }
 
--- a/tests/benchmarks/control/gossip_scenarios.h
+++ b/tests/benchmarks/control/gossip_scenarios.h
@@ -1,4 +1,4 @@
-// What the gossip that ships costs and how fast it is, by size of the fleet.
+// Measures the cost and the speed of the product's gossip by size of the fleet.
 #ifndef CONTROL_GOSSIP_SCENARIOS_H_
 #define CONTROL_GOSSIP_SCENARIOS_H_
 
@@ -8,12 +8,12 @@
 
 namespace chestnutport::bench {
 
-// At any size: rest, a failure, a drain, a revision, bad links.
+// For any size: idle traffic, failures, drains, revisions and packet loss.
 void MeasureRest(FigureReport& report, size_t members);
 void MeasureSpread(FigureReport& report, size_t members);
 void MeasureLoss(FigureReport& report, size_t members, double loss);
 void MeasureMemory(FigureReport& report, size_t members);
-// At the target's size: the bad days.
+// For the target size: large failures and mass changes.
 void MeasureUpgrade(FigureReport& report, size_t members);
 void MeasureRack(FigureReport& report, size_t members);
 void MeasureDataCentre(FigureReport& report, size_t members);
--- a/tests/benchmarks/control/process_usage.h
+++ b/tests/benchmarks/control/process_usage.h
@@ -1,4 +1,4 @@
-// What this process has used so far, as the kernel counts it.
+// Resource usage of this process as counted by the kernel.
 #ifndef CONTROL_PROCESS_USAGE_H_
 #define CONTROL_PROCESS_USAGE_H_
 
