--- a/tests/benchmarks/control/gossip_scenarios.cc
+++ b/tests/benchmarks/control/gossip_scenarios.cc
@@ -25,13 +25,13 @@
 using test::GossipFleetOptions;
 using test::GossipTraffic;
 
-constexpr double kLargestRate = 8000;      // Bytes a second a node.
-constexpr double kLargestShare = 0.8;      // Percent of a core.
-constexpr double kLargestMemory = 64;      // MB.
-constexpr double kLongestOut = 3;          // Seconds to be out of rotation.
-constexpr double kLongestRevision = 2;     // Seconds.
-constexpr double kLargestStoreRate = 100;  // Calls a second, all nodes.
-constexpr double kLongestFalseGone = 10;   // Seconds.
+constexpr double kMaxSendRate = 8000;       // Bytes per second and node.
+constexpr double kMaxProcessorShare = 0.8;  // Percent of a core.
+constexpr double kMaxMemory = 64;           // MB.
+constexpr double kMaxRemovalTime = 3;       // Seconds until out of rotation.
+constexpr double kMaxRevisionTime = 2;      // Seconds.
+constexpr double kMaxStoreRate = 100;       // Calls per second of all nodes.
+constexpr double kMaxFalseGoneTime = 10;    // Seconds.
 
 double Seconds(base::Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -71,11 +71,11 @@
     report.Add({.name = Name(scenario, members, "bytes"),
                 .value = bytes,
                 .unit = "B/s/node",
-                .at_most = kLargestRate});
+                .at_most = kMaxSendRate});
     report.Add({.name = Name(scenario, members, "processor"),
                 .value = share,
                 .unit = "% of core",
-                .at_most = kLargestShare});
+                .at_most = kMaxProcessorShare});
   }
 
  private:
@@ -139,7 +139,7 @@
   report.Add({.name = name,
               .value = last,
               .unit = "s",
-              .at_most = kLongestOut,
+              .at_most = kMaxRemovalTime,
               .at_least = 0});
 }
 
@@ -156,7 +156,7 @@
   report.Add({.name = Name(scenario, fleet.size(), "longest false gone"),
               .value = Seconds(alarms.longest_gone),
               .unit = "s",
-              .at_most = kLongestFalseGone});
+              .at_most = kMaxFalseGoneTime});
 }
 
 // Reports the seconds until all views are equal and correct, or -1 if they were
@@ -206,7 +206,7 @@
   report.Add({.name = Name("memory", members, "resident"),
               .value = bytes / 1e6,
               .unit = "MB/node",
-              .at_most = kLargestMemory});
+              .at_most = kMaxMemory});
 }
 
 void MeasureRest(FigureReport& report, size_t members) {
@@ -253,7 +253,7 @@
   report.Add({.name = Name("revision", members, "last node"),
               .value = reached_count + 1 == up ? Seconds(last - start) : -1,
               .unit = "s",
-              .at_most = kLongestRevision,
+              .at_most = kMaxRevisionTime,
               .at_least = 0});
 }
 
@@ -393,7 +393,7 @@
   report.Add({.name = Name("store", members, "steady calls"),
               .value = steady,
               .unit = "1/s fleet",
-              .at_most = kLargestStoreRate});
+              .at_most = kMaxStoreRate});
   report.Add({.name = Name("store", members, "reads while all start"),
               .value = static_cast<double>(members) /
                        Seconds(duties::SeedSearch::kStartJitter),
