--- a/src/libs/gate/gate.h
+++ b/src/libs/gate/gate.h
@@ -22,7 +22,7 @@
 #include "net/event_loop.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
-#include "quarantine/gate_guard.h"
+#include "quarantine/quarantine_filter.h"
 #include "quarantine/server_crash.h"
 #include "server/server_observer.h"
 #include "server/server_protocol.h"
@@ -91,7 +91,7 @@
   bool RejectIfUnservable(GateArrival& arrival, base::Instant now);
   // Returns the refusal if the request must not be queued because of a
   // quarantine verdict.
-  std::optional<quarantine::GuardRefusal> QuarantineRefusal(
+  std::optional<quarantine::QuarantineRejection> QuarantineRefusal(
       const GateArrival& arrival,
       base::Instant now) const;
   // Answers whether the attempt would be admitted now, without recording it.
@@ -124,7 +124,7 @@
   // Hands the attempt to the server. Returns further actions if it must not be
   // sent any more.
   admission::AdmissionActions Start(const base::AttemptId& id);
-  std::optional<quarantine::GuardRefusal> FindRefusalAtStart(
+  std::optional<quarantine::QuarantineRejection> FindRefusalAtStart(
       const GateAttempt& attempt,
       base::Instant now);
   void SendToServer(GateAttempt& attempt, base::Instant now);
@@ -172,7 +172,7 @@
   net::HttpClient client_;
   server::ServerObserver observer_;
   std::vector<GateArrival> waiting_for_probe_;
-  quarantine::GateGuard guard_;
+  quarantine::QuarantineFilter guard_;
   Outputs outputs_;
   base::Instant reported_at_;
   SettleCalls settle_calls_;
--- a/src/libs/gate/gate_admission.cc
+++ b/src/libs/gate/gate_admission.cc
@@ -140,7 +140,7 @@
   return true;
 }
 
-std::optional<quarantine::GuardRefusal> Gate::QuarantineRefusal(
+std::optional<quarantine::QuarantineRejection> Gate::QuarantineRefusal(
     const GateArrival& arrival,
     base::Instant now) const {
   const wire::PeerRequestHead& head = arrival.head;
--- /dev/null
+++ b/src/libs/membership/byte_rate_limiter.h
@@ -0,0 +1,32 @@
+// A token bucket that limits the bytes a node sends.
+#ifndef MEMBERSHIP_BYTE_RATE_LIMITER_H_
+#define MEMBERSHIP_BYTE_RATE_LIMITER_H_
+
+#include <cstddef>
+
+#include "base/time.h"
+
+namespace chestnutport::membership {
+
+class ByteRateLimiter {
+ public:
+  ByteRateLimiter(size_t per_second, size_t burst, base::Instant now);
+
+  // Refills the bucket and returns whether anything may be sent now.
+  bool HasTokens(base::Instant now);
+  // Takes `bytes` from the bucket. The balance may go below zero by one
+  // datagram.
+  void Consume(size_t bytes);
+  // Returns when sending is possible again.
+  base::Instant NextAvailable() const;
+
+ private:
+  double per_second_;
+  double burst_;
+  double balance_;
+  base::Instant filled_at_;
+};
+
+}  // namespace chestnutport::membership
+
+#endif  // MEMBERSHIP_BYTE_RATE_LIMITER_H_
--- /dev/null
+++ b/src/libs/membership/evidence_disseminator.h
@@ -0,0 +1,91 @@
+// Disseminates evidence on requests that were running when servers crashed,
+// within a bandwidth budget of its own.
+//
+// Most crashes say nothing about the requests that were running. The first
+// crash of a request is therefore sent only to a few collectors, chosen by the
+// fingerprint of the request. Once two crashes are known, the evidence is
+// broadcast with gossip messages. Broadcasting each crash would exhaust the
+// budget of every node at ten crashes a second in a fleet of hundreds of nodes.
+#ifndef MEMBERSHIP_EVIDENCE_DISSEMINATOR_H_
+#define MEMBERSHIP_EVIDENCE_DISSEMINATOR_H_
+
+#include <cstdint>
+#include <optional>
+#include <span>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "base/request_fingerprint.h"
+#include "base/time.h"
+#include "membership/byte_rate_limiter.h"
+#include "membership/gossip_options.h"
+#include "membership/update_queue.h"
+#include "quarantine/crash_ledger.h"
+#include "quarantine/request_evidence.h"
+
+namespace chestnutport::membership {
+
+class EvidenceDisseminator {
+ public:
+  // Nodes that collect the evidence on one request. Several tolerate the loss
+  // of a node and of a datagram.
+  static constexpr size_t kCollectors = 3;
+
+  // `ledger` must outlive this object.
+  EvidenceDisseminator(quarantine::CrashLedger& ledger,
+                       const GossipOptions& options,
+                       base::Instant now);
+
+  // Returns whether the evidence on the request is to be known to all nodes.
+  bool IsFleetWide(base::RequestFingerprint fingerprint) const;
+  // Queues the evidence on the request for broadcast.
+  void Broadcast(base::RequestFingerprint fingerprint, base::Instant now);
+  // Whether evidence is queued that has not been sent yet, and the earliest
+  // time to send it.
+  bool HasUnsent() const { return updates_.HasUnsent(); }
+  base::Instant next_flush() const { return next_flush_; }
+
+  // Returns the queued evidence for the next broadcast, in at most `room`
+  // bytes; empty if none is due or the budget is exhausted.
+  std::string TakeUnsent(base::Instant now, size_t room);
+  // Returns evidence to piggyback on a ping or an ack, in at most `room` bytes.
+  std::string TakePiggybacked(base::Instant now, size_t room);
+  // Returns the evidence on the requests, encoded in parts of at most `room`
+  // bytes unless a single request takes more.
+  std::vector<std::string> EncodeInParts(
+      std::span<const base::RequestFingerprint> requests,
+      base::Instant now,
+      size_t room) const;
+  // The budget that the resulting messages are charged to.
+  ByteRateLimiter& budget() { return budget_; }
+  // Called when there is no member to send to.
+  void PostponeFlush(base::Instant next_flush) { next_flush_ = next_flush; }
+
+  // Adds evidence received from another node. `should_relay` is true if other
+  // nodes may not have it yet. Returns whether any of it was new, or nothing if
+  // it is malformed.
+  std::optional<bool> MergeReceived(std::string_view bytes,
+                                    bool should_relay,
+                                    base::Instant now);
+  // Returns all evidence that every node is to have, encoded.
+  std::string EncodeAll(base::Instant now) const;
+  uint64_t digest() const { return ledger_.digest(); }
+
+ private:
+  using Queue = UpdateQueue<base::RequestFingerprint>;
+
+  // Returns whether the ledger has more evidence on the request than was
+  // received.
+  bool HasMoreThan(const quarantine::RequestEvidence& received) const;
+
+  quarantine::CrashLedger& ledger_;
+  GossipOptions options_;
+  Queue updates_;
+  ByteRateLimiter budget_;
+  base::Instant next_flush_;
+};
+
+}  // namespace chestnutport::membership
+
+#endif  // MEMBERSHIP_EVIDENCE_DISSEMINATOR_H_
--- a/src/libs/membership/gossip_message.cc
+++ b/src/libs/membership/gossip_message.cc
@@ -4,18 +4,18 @@
 #include <exception>
 #include <msgpack.hpp>
 
-#include "membership/news_codec.h"
+#include "membership/member_update_codec.h"
 
 namespace chestnutport::membership {
 namespace {
 
 constexpr uint32_t kFields = 14;
-// Older versions send so many.
-constexpr uint32_t kLeastFields = 10;
+// Number of fields sent by the oldest versions that are accepted.
+constexpr uint32_t kMinFields = 10;
 constexpr uint32_t kFieldsWithEvidence = 12;
-constexpr size_t kLargestArray = 512;
+constexpr size_t kMaxArraySize = 512;
 
-// From the revision and the names behind it.
+// `fields` points at the revision, which is followed by the names.
 evacuation::Evacuations ReadEvacuations(const msgpack::object* fields) {
   evacuation::Evacuations read{fields[0].as<uint64_t>(),
                                fields[1].as<std::vector<std::string>>()};
@@ -28,11 +28,11 @@
 
 }  // namespace
 
-size_t GossipMessage::SizeOf(const NewsItem& item) {
-  constexpr size_t kLargestItem = 1 + 9 + 9 + 1 + 5;
-  constexpr size_t kBinaryHead = 3;
-  return kLargestItem +
-         (item.record.empty() ? 0 : kBinaryHead + item.record.size());
+size_t GossipMessage::MaxEncodedSize(const MemberUpdate& item) {
+  constexpr size_t kMaxUpdateSize = 1 + 9 + 9 + 1 + 5;
+  constexpr size_t kBinaryHeaderSize = 3;
+  return kMaxUpdateSize +
+         (item.record.empty() ? 0 : kBinaryHeaderSize + item.record.size());
 }
 
 std::string GossipMessage::Encode() const {
@@ -48,9 +48,9 @@
   packer.pack(subject.value);
   packer.pack(sequence);
   packer.pack((static_cast<uint64_t>(address.ip) << 16) | address.port);
-  packer.pack_array(static_cast<uint32_t>(news.size()));
-  for (const NewsItem& item : news)
-    PackNews(packer, item);
+  packer.pack_array(static_cast<uint32_t>(updates.size()));
+  for (const MemberUpdate& item : updates)
+    PackUpdate(packer, item);
   packer.pack(evidence_digest.value_or(0));
   packer.pack_bin(static_cast<uint32_t>(evidence.size()));
   packer.pack_bin_body(evidence.data(), static_cast<uint32_t>(evidence.size()));
@@ -61,11 +61,11 @@
 
 std::optional<GossipMessage> GossipMessage::Decode(std::string_view bytes) {
   try {
-    const auto handle = Unpack(bytes, kLargestArray);
-    const msgpack::object* fields = ReadArray(handle.get(), kLeastFields);
+    const auto handle = Unpack(bytes, kMaxArraySize);
+    const msgpack::object* fields = ReadArray(handle.get(), kMinFields);
     GossipMessage message;
     const auto type = fields[0].as<uint8_t>();
-    if (type > static_cast<uint8_t>(MessageType::kNews))
+    if (type > static_cast<uint8_t>(MessageType::kUpdate))
       return std::nullopt;
     message.type = static_cast<MessageType>(type);
     message.sender.value = fields[1].as<uint64_t>();
@@ -79,14 +79,14 @@
     message.address = {static_cast<uint32_t>(address >> 16),
                        static_cast<uint16_t>(address & UINT16_MAX)};
     const msgpack::object* items = ReadArray(fields[9], 0);
-    message.news.reserve(fields[9].via.array.size);
+    message.updates.reserve(fields[9].via.array.size);
     for (uint32_t i = 0; i < fields[9].via.array.size; ++i)
-      message.news.push_back(ReadNews(items[i]));
+      message.updates.push_back(ReadUpdate(items[i]));
     if (message.sender.value == 0)
       return std::nullopt;
     if (handle.get().via.array.size >= kFieldsWithEvidence) {
-      message.evidence_digest = fields[kLeastFields].as<uint64_t>();
-      message.evidence = ReadBytes(fields[kLeastFields + 1]);
+      message.evidence_digest = fields[kMinFields].as<uint64_t>();
+      message.evidence = ReadBytes(fields[kMinFields + 1]);
     }
     if (handle.get().via.array.size >= kFields)
       message.evacuations = ReadEvacuations(&fields[kFieldsWithEvidence]);
--- a/src/libs/membership/gossip_probing.cc
+++ b/src/libs/membership/gossip_probing.cc
@@ -1,4 +1,4 @@
-// Pings and acks, and what follows if they stay out.
+// Pings and acks, and failure detection when acks are missing.
 #include <algorithm>
 #include <utility>
 
@@ -7,70 +7,70 @@
 namespace chestnutport::membership {
 namespace {
 
-constexpr size_t kLargestRelays = 64;
+constexpr size_t kMaxRelays = 64;
 constexpr std::chrono::seconds kSweepInterval(5);
-// How often all members together try each one that is gone or has left, a
-// second: a node that was stopped and started in turn may have nobody to ask.
-constexpr double kTriesPerSecond = 2;
+// How often a second all members together ping each member that is gone or has
+// left. A restarted node may not know any live member to contact.
+constexpr double kAbsentPingsPerSecond = 2;
 
 }  // namespace
 
-void Gossip::Answer(base::Instant now,
-                    const base::SocketAddress& from,
-                    const GossipMessage& ping,
-                    bool was_unknown,
-                    GossipOutput& output) {
-  if (!acks_.IsOpen(now))
+void Gossip::AnswerPing(base::Instant now,
+                        const base::SocketAddress& from,
+                        const GossipMessage& ping,
+                        bool was_unknown,
+                        GossipOutput& output) {
+  if (!acks_.HasTokens(now))
     return;
-  acks_.Spend(1);
-  const bool is_hello = ping.subject.value == 0;
-  const bool is_meant = is_hello || ping.subject == self_;
-  GossipMessage answer =
-      MakeMessage(is_meant ? MessageType::kAck : MessageType::kNotMe,
-                  is_meant ? self_ : ping.subject);
-  answer.sequence = ping.sequence;
-  if (was_unknown || is_hello)
-    answer.news.push_back(ItemOf(*table_.Find(self_), true));
-  TellOfItself(ping.sender, answer);
-  SendWithNews(now, from, std::move(answer), output);
+  acks_.Consume(1);
+  const bool is_join = ping.subject.value == 0;
+  const bool is_addressee = is_join || ping.subject == self_;
+  GossipMessage ack =
+      MakeMessage(is_addressee ? MessageType::kAck : MessageType::kWrongTarget,
+                  is_addressee ? self_ : ping.subject);
+  ack.sequence = ping.sequence;
+  if (was_unknown || is_join)
+    ack.updates.push_back(MakeUpdate(*table_.Find(self_), true));
+  AddUnlessAlive(ping.sender, ack);
+  SendWithUpdates(now, from, std::move(ack), output);
 }
 
-// A member that is not believed to be alive must hear so, to refute it.
-void Gossip::TellOfItself(base::NodeId id, GossipMessage& message) const {
+// A member that is not believed to be alive must receive that claim to refute
+// it.
+void Gossip::AddUnlessAlive(base::NodeId id, GossipMessage& message) const {
   const MemberEntry* entry = table_.Find(id);
   if (entry && entry->state != MemberState::kAlive)
-    message.news.push_back(ItemOf(*entry, false));
+    message.updates.push_back(MakeUpdate(*entry, false));
 }
 
-void Gossip::OnAnswer(base::Instant now,
-                      const GossipMessage& answer,
-                      GossipOutput& output) {
-  const auto fits = [&](const auto& waiting) {
-    return waiting.sequence == answer.sequence &&
-           waiting.target == answer.subject;
+void Gossip::OnAck(base::Instant now,
+                   const GossipMessage& ack,
+                   GossipOutput& output) {
+  const auto matches = [&](const auto& waiting) {
+    return waiting.sequence == ack.sequence && waiting.target == ack.subject;
   };
-  const auto relay = std::ranges::find_if(relays_, fits);
+  const auto relay = std::ranges::find_if(relays_, matches);
   if (relay != relays_.end()) {
-    GossipMessage passed = MakeMessage(answer.type, answer.subject);
-    passed.sequence = relay->origin_sequence;
-    Send(relay->origin, passed, output);
+    GossipMessage forwarded = MakeMessage(ack.type, ack.subject);
+    forwarded.sequence = relay->origin_sequence;
+    Send(relay->origin, forwarded, output);
     relays_.erase(relay);
   }
-  const auto probe = std::ranges::find_if(probes_, fits);
+  const auto probe = std::ranges::find_if(probes_, matches);
   if (probe == probes_.end())
     return;
   probes_.erase(probe);
-  if (answer.type != MessageType::kNotMe)
+  if (ack.type != MessageType::kWrongTarget)
     return;
-  SetState(now, answer.subject, MemberState::kLeft, output);
-  TellSoon(now, answer.subject, false);
+  SetState(now, ack.subject, MemberState::kLeft, output);
+  EnqueueUpdate(now, ack.subject, false);
 }
 
 void Gossip::OnPingRequest(base::Instant now,
                            const base::SocketAddress& from,
                            const GossipMessage& request,
                            GossipOutput& output) {
-  if (relays_.size() >= kLargestRelays || request.subject.value == 0)
+  if (relays_.size() >= kMaxRelays || request.subject.value == 0)
     return;
   const base::Instant deadline =
       now + options_.direct_timeout + options_.indirect_timeout;
@@ -82,12 +82,13 @@
 }
 
 void Gossip::ProbeNext(base::Instant now, GossipOutput& output) {
-  constexpr unsigned kKinds = 4;
-  const unsigned kind = turn_++ % kKinds;
-  const bool near = kind < 2 && !table_.near().empty();
-  const bool watches = kind % 2 == 0;
-  const MemberEntry* target =
-      watches ? table_.Neighbour(near) : table_.NextInRound(near, random_);
+  constexpr unsigned kProbeKinds = 4;
+  const unsigned kind = probe_turn_++ % kProbeKinds;
+  const bool local = kind < 2 && !table_.local().empty();
+  const bool probes_successor = kind % 2 == 0;
+  const MemberEntry* target = probes_successor
+                                  ? table_.RingSuccessor(local)
+                                  : table_.NextProbeTarget(local, random_);
   if (target)
     StartProbe(now, *target, output);
 }
@@ -101,12 +102,12 @@
   ping.sequence = ++last_sequence_;
   probes_.push_back(
       {target.id, ping.sequence, now + options_.direct_timeout, false});
-  TellOfItself(target.id, ping);
-  SendWithNews(now, target.record->member.gossip_address, std::move(ping),
-               output);
+  AddUnlessAlive(target.id, ping);
+  SendWithUpdates(now, target.record->member.gossip_address, std::move(ping),
+                  output);
 }
 
-void Gossip::ProbeForHearsay(base::Instant now, GossipOutput& output) {
+void Gossip::ProbeDoubted(base::Instant now, GossipOutput& output) {
   while (!doubted_.empty()) {
     const MemberEntry* entry = table_.Find(doubted_.back());
     doubted_.pop_back();
@@ -117,9 +118,9 @@
   }
 }
 
-void Gossip::TryAbsent(GossipOutput& output) {
+void Gossip::PingAbsent(GossipOutput& output) {
   const std::chrono::duration<double> interval = options_.probe_interval;
-  const double chance = kTriesPerSecond * interval.count() *
+  const double chance = kAbsentPingsPerSecond * interval.count() *
                         static_cast<double>(table_.absent()) /
                         static_cast<double>(table_.live() + 1);
   if (std::uniform_real_distribution<>(0, 1)(random_) >= chance)
@@ -128,52 +129,52 @@
   if (!absent)
     return;
   const base::SocketAddress address = absent->record->member.gossip_address;
-  if (absent->state == MemberState::kLeft && table_.IsTaken(address))
+  if (absent->state == MemberState::kLeft && table_.IsAddressInUse(address))
     return;
-  // Waits for no ack: if the member is there, it refutes that it is gone. If
-  // another took its address, that one says so; it may know nobody yet, and is
-  // told who asks.
+  // No ack is awaited: if the member is there, it refutes the claim that it is
+  // gone. If another node has taken its address, that node reports it; as it
+  // may not know any member yet, the ping carries the record of this node.
   GossipMessage ping = MakeMessage(MessageType::kPing, absent->id);
   ping.sequence = ++last_sequence_;
-  ping.news.push_back(ItemOf(*table_.Find(self_), true));
-  TellOfItself(absent->id, ping);
+  ping.updates.push_back(MakeUpdate(*table_.Find(self_), true));
+  AddUnlessAlive(absent->id, ping);
   Send(address, ping, output);
 }
 
-void Gossip::EndProbes(base::Instant now, GossipOutput& output) {
-  std::vector<base::NodeId> silent;
+void Gossip::ExpireProbes(base::Instant now, GossipOutput& output) {
+  std::vector<base::NodeId> unanswered;
   for (Probe& probe : probes_) {
     if (now < probe.deadline)
       continue;
-    if (probe.indirect)
-      silent.push_back(probe.target);
+    if (probe.is_indirect)
+      unanswered.push_back(probe.target);
     else
-      ProbeThroughHelpers(now, probe, output);
+      ProbeIndirectly(now, probe, output);
   }
   std::erase_if(probes_,
                 [&](const Probe& probe) { return now >= probe.deadline; });
-  for (const base::NodeId& id : silent)
+  for (const base::NodeId& id : unanswered)
     Suspect(now, id, output);
 }
 
-void Gossip::ProbeThroughHelpers(base::Instant now,
-                                 Probe& probe,
-                                 GossipOutput& output) {
-  probe.indirect = true;
+void Gossip::ProbeIndirectly(base::Instant now,
+                             Probe& probe,
+                             GossipOutput& output) {
+  probe.is_indirect = true;
   probe.deadline = now + options_.indirect_timeout;
   const MemberEntry* target = table_.Find(probe.target);
   if (!target || !target->record)
     return;
   const base::SocketAddress address = target->record->member.gossip_address;
-  GossipMessage again = MakeMessage(MessageType::kPing, probe.target);
-  again.sequence = probe.sequence;
-  Send(address, again, output);
+  GossipMessage retry = MakeMessage(MessageType::kPing, probe.target);
+  retry.sequence = probe.sequence;
+  Send(address, retry, output);
   GossipMessage request = MakeMessage(MessageType::kPingRequest, probe.target);
   request.sequence = probe.sequence;
   request.address = address;
-  for (size_t i = 0; i < options_.helpers; ++i) {
-    const bool near = i == 0 && !table_.near().empty();
-    const MemberEntry* helper = table_.PickLive(near, random_);
+  for (size_t i = 0; i < options_.indirect_probes; ++i) {
+    const bool local = i == 0 && !table_.local().empty();
+    const MemberEntry* helper = table_.PickLive(local, random_);
     if (helper && helper->id != probe.target)
       Send(helper->record->member.gossip_address, request, output);
   }
@@ -185,13 +186,13 @@
     return;
   ++counters_.suspected;
   SetState(now, id, MemberState::kSuspected, output);
-  TellSoon(now, id, false);
-  GossipMessage message = MakeMessage(MessageType::kNews, id);
-  TellOfItself(id, message);
+  EnqueueUpdate(now, id, false);
+  GossipMessage message = MakeMessage(MessageType::kUpdate, id);
+  AddUnlessAlive(id, message);
   Send(table_.Find(id)->record->member.gossip_address, message, output);
 }
 
-void Gossip::EndSuspicions(base::Instant now, GossipOutput& output) {
+void Gossip::ExpireSuspicions(base::Instant now, GossipOutput& output) {
   std::vector<base::NodeId> ended;
   for (const auto& [id, deadline] : suspicions_) {
     if (now >= deadline)
@@ -201,29 +202,29 @@
     SetState(now, id, MemberState::kGone, output);
 }
 
-void Gossip::ForgetGone(base::Instant now) {
+void Gossip::RemoveExpired(base::Instant now) {
   if (now < next_sweep_)
     return;
   next_sweep_ = now + kSweepInterval;
   std::erase_if(relays_,
                 [now](const Relay& relay) { return now >= relay.deadline; });
   std::vector<base::NodeId> ended;
-  for (const auto& [id, when] : forget_at_) {
+  for (const auto& [id, when] : remove_at_) {
     if (now >= when)
       ended.push_back(id);
   }
   for (const base::NodeId& id : ended) {
-    forget_at_.erase(id);
+    remove_at_.erase(id);
     const MemberEntry* entry = table_.Find(id);
     if (entry && (!entry->IsLive() || !entry->record))
       table_.Remove(id);
   }
 }
 
-// After a pause of this process, missing answers are its own fault.
-void Gossip::ForgivePause(base::Instant now) {
+// Missing acks after a pause of this process are caused by the pause.
+void Gossip::CompensateForPause(base::Instant now) {
   const base::Instant planned = NextRun();
-  if (now <= planned + options_.pause)
+  if (now <= planned + options_.pause_threshold)
     return;
   probes_.clear();
   relays_.clear();
--- a/src/libs/operators/operator_quarantine.cc
+++ b/src/libs/operators/operator_quarantine.cc
@@ -19,15 +19,15 @@
 }
 
 json ToJson(const fleet::RequestQuarantine& quarantine,
-            const fleet::HeldRequest& held,
+            const fleet::RequestWithVerdict& held,
             base::Instant now) {
   json crashes = json::array();
-  for (const quarantine::CrashMark& mark : held.evidence.marks) {
+  for (const quarantine::CrashObservation& mark : held.evidence.crashes) {
     crashes.push_back({{"node", quarantine.NameOf(mark.crash.node)},
                        {"life", mark.crash.life},
                        {"ago", FormatRounded(now - mark.at)},
-                       {"ran", FormatRounded(mark.ran)},
-                       {"alone", mark.is_alone}});
+                       {"ran", FormatRounded(mark.run_time)},
+                       {"alone", mark.is_sole_suspect}});
   }
   return {{"fingerprint", held.evidence.fingerprint.ToString()},
           {"verdict", std::string(ToString(held.verdict.verdict))},
@@ -50,7 +50,7 @@
 void HandleQuarantine(const ManagedNode& node, net::Reply reply) {
   const fleet::RequestQuarantine& quarantine = node.quarantine;
   json requests = json::array();
-  for (const fleet::HeldRequest& held : quarantine.Held())
+  for (const fleet::RequestWithVerdict& held : quarantine.RequestsWithVerdict())
     requests.push_back(ToJson(quarantine, held, base::Clock::now()));
   SendJson(reply, {{"requests", requests}});
 }
--- a/src/libs/quarantine/request_evidence.h
+++ b/src/libs/quarantine/request_evidence.h
@@ -1,4 +1,4 @@
-// What is known of a request that servers ran when they ended.
+// The crashes observed while a given request was running.
 #ifndef QUARANTINE_REQUEST_EVIDENCE_H_
 #define QUARANTINE_REQUEST_EVIDENCE_H_
 
@@ -8,22 +8,25 @@
 
 #include "base/request_fingerprint.h"
 #include "quarantine/crash_id.h"
-#include "quarantine/crash_mark.h"
-#include "quarantine/refuted_end.h"
+#include "quarantine/crash_observation.h"
+#include "quarantine/refuted_crash.h"
 
 namespace chestnutport::quarantine {
 
 struct RequestEvidence {
   base::RequestFingerprint fingerprint;
-  std::vector<CrashMark> marks;
-  // Ends that do not count: a server answered the request since, or an operator
-  // lifted the verdict. They outweigh marks, in whatever order both are heard.
-  std::vector<RefutedEnd> refuted;
+  std::vector<CrashObservation> crashes;
+  // Crashes that no longer count, because a server has answered the request
+  // since or an operator released it. They override observations of the same
+  // crashes, whichever is received first.
+  std::vector<RefutedCrash> refuted;
 };
 
-// Equal for evidence with the same marks, in any order and of any age.
-uint64_t MarksDigest(std::span<const RequestEvidence> all);
-uint64_t MarkDigest(base::RequestFingerprint fingerprint, const CrashId& crash);
+// Depends only on the requests and the identities of their crashes: neither on
+// their order nor on their times.
+uint64_t EvidenceDigest(std::span<const RequestEvidence> all);
+uint64_t CrashDigest(base::RequestFingerprint fingerprint,
+                     const CrashId& crash);
 
 }  // namespace chestnutport::quarantine
 
--- a/tests/auto/membership/record_pull_test.cc
+++ b/tests/auto/membership/record_pull_test.cc
@@ -1,4 +1,4 @@
-// From whom a node asks for the records of members that it only knows by name.
+// Which members a node asks for records that it lacks.
 #include <catch2/catch.hpp>
 #include <set>
 #include <string>
@@ -20,29 +20,30 @@
   return member;
 }
 
-NewsItem ItemOf(const Member& member) {
+MemberUpdate MakeUpdate(const Member& member) {
   RecordCache records;
   const SharedRecord record =
       records.Intern(MemberRecord::Encode(member).bytes);
   return {member.id, 1, MemberState::kAlive, record->hash, record->bytes};
 }
 
-TEST_CASE("a member whose record the node that is asked lacks as well") {
+TEST_CASE("a record that the responder lacks as well") {
   const Member asked = MakeMember(2);
   RecordCache records;
   quarantine::CrashLedger ledger;
-  Gossip gossip(MakeMember(1), {}, DatagramSeal("fleet", "key", ""), records,
-                ledger, base::Random(1), kStart);
-  NewsItem unknown = ItemOf(MakeMember(9));
+  Gossip gossip(MakeMember(1), {}, DatagramAuthenticator("fleet", "key", ""),
+                records, ledger, base::Random(1), kStart);
+  MemberUpdate unknown = MakeUpdate(MakeMember(9));
   unknown.record.clear();
-  const PullAnswer view{.sender = asked.id,
-                        .members = {ItemOf(asked), ItemOf(MakeMember(3)),
-                                    ItemOf(MakeMember(4)), unknown}};
+  const PullResponse view{
+      .sender = asked.id,
+      .members = {MakeUpdate(asked), MakeUpdate(MakeMember(3)),
+                  MakeUpdate(MakeMember(4)), unknown}};
   GossipOutput output;
-  gossip.OnPullAnswer(kStart, view.Encode(), output);
+  gossip.OnPullResponse(kStart, view.Encode(), output);
   REQUIRE(gossip.Members().size() == 4);
 
-  SECTION("is asked for elsewhere too") {
+  SECTION("is requested from other members too") {
     std::set<std::string> to;
     base::Instant now = kStart;
     for (int i = 0; i < 40; ++i, now += std::chrono::milliseconds(100)) {
@@ -51,8 +52,8 @@
       const bool was_asked = !output.pulls.empty();
       output = {};
       if (was_asked) {
-        const PullAnswer nothing{.sender = asked.id};
-        gossip.OnPullAnswer(now, nothing.Encode(), output);
+        const PullResponse nothing{.sender = asked.id};
+        gossip.OnPullResponse(now, nothing.Encode(), output);
       }
       gossip.Run(now, output);
     }
--- a/tests/support/gate_fixture.cc
+++ b/tests/support/gate_fixture.cc
@@ -32,7 +32,7 @@
 }
 
 wire::PeerRequestHead HeadOf(uint64_t sequence,
-                             const quarantine::GuardedRequest& request) {
+                             const quarantine::IncomingRequest& request) {
   wire::PeerRequestHead head = MakeHead(sequence);
   head.fingerprint = request.fingerprint;
   head.is_suspect = request.is_suspect;
@@ -86,12 +86,12 @@
 }
 
 base::AttemptId GateFixture::BeginGuarded(
-    const quarantine::GuardedRequest& request) {
+    const quarantine::IncomingRequest& request) {
   return Send(HeadOf(++last_, request), "GET");
 }
 
 base::AttemptId GateFixture::BeginKeyed(
-    const quarantine::GuardedRequest& request,
+    const quarantine::IncomingRequest& request,
     const std::string& key) {
   return Send(
       HeadOf(++last_, request), "POST",
@@ -119,7 +119,7 @@
 }
 
 net::TransferResult GateFixture::InquireCapacity(
-    const quarantine::GuardedRequest& guarded) {
+    const quarantine::IncomingRequest& guarded) {
   wire::PeerRequestHead head = MakeHead(++last_);
   head.fingerprint = guarded.fingerprint;
   head.is_suspect = guarded.is_suspect;
--- a/tests/support/gate_fixture.h
+++ b/tests/support/gate_fixture.h
@@ -34,9 +34,9 @@
                         base::Duration remaining = std::chrono::seconds(10));
   // Starts an attempt with a fingerprint, marked as suspect or not by the
   // sender.
-  base::AttemptId BeginGuarded(const quarantine::GuardedRequest& request);
+  base::AttemptId BeginGuarded(const quarantine::IncomingRequest& request);
   // Starts an attempt with an idempotency key; see AcquireKeyOwnership().
-  base::AttemptId BeginKeyed(const quarantine::GuardedRequest& request,
+  base::AttemptId BeginKeyed(const quarantine::IncomingRequest& request,
                              const std::string& key);
   // Makes the gate's node the owner of all keys.
   void AcquireKeyOwnership();
@@ -47,7 +47,7 @@
   void EndServer() { server_.reset(); }
   // Sends a capacity inquiry and returns its result.
   net::TransferResult InquireCapacity(
-      const quarantine::GuardedRequest& guarded = {});
+      const quarantine::IncomingRequest& guarded = {});
   // Starts an attempt and waits for its result.
   net::TransferResult Run(const std::string& method);
   // Queries or cancels the attempt and returns its state.
--- a/tests/support/gossip_fleet.cc
+++ b/tests/support/gossip_fleet.cc
@@ -21,12 +21,12 @@
 constexpr size_t kServices = 200;
 constexpr uint16_t kPort = 7400;
 constexpr uint32_t kNetwork = 10U << 24;
-constexpr size_t kPacketHead = 28;
-// Heads of a control call and its answer, with those of TCP.
-constexpr size_t kCallHeads = 900;
-// The kernel's buffer of a socket that nobody reads.
-constexpr size_t kLargestWaiting = 200;
-constexpr std::chrono::microseconds kNearDelay(250);
+constexpr size_t kPacketOverhead = 28;
+// Headers of a control call and its response, including those of TCP.
+constexpr size_t kCallHeaderBytes = 900;
+// Datagrams that the kernel buffers for a socket that is not read.
+constexpr size_t kMaxPendingDatagrams = 200;
+constexpr std::chrono::microseconds kLocalDelay(250);
 constexpr std::chrono::microseconds kRegionDelay(750);
 constexpr std::chrono::milliseconds kFarDelay(30);
 constexpr std::chrono::milliseconds kFarDelayStep(10);
@@ -58,8 +58,8 @@
 }
 
 void GossipFleet::AddGossip(size_t slot) {
-  Slot& place = slots_[slot];
-  Member& member = place.member;
+  Slot& node = slots_[slot];
+  Member& member = node.member;
   member.id = base::NodeId::Draw(random_);
   member.name = absl::StrCat("vm-", slot);
   member.data_centre = absl::StrCat("dc-", DataCentreOf(slot));
@@ -71,28 +71,28 @@
   member.server = membership::ServerAnnouncement{
       absl::StrCat("service-", slot % kServices), 12, false};
   slot_of_[member.id] = slot;
-  place.ledger = std::make_unique<quarantine::CrashLedger>();
-  place.gossip = std::make_unique<membership::Gossip>(
+  node.ledger = std::make_unique<quarantine::CrashLedger>();
+  node.gossip = std::make_unique<membership::Gossip>(
       member, options_.gossip,
-      membership::DatagramSeal("fleet", "0123456789abcdef", ""), records_,
-      *place.ledger, base::Random(random_()), now_);
-  place.frozen = false;
-  ++place.life;
-  place.waiting.clear();
+      membership::DatagramAuthenticator("fleet", "0123456789abcdef", ""),
+      records_, *node.ledger, base::Random(random_()), now_);
+  node.frozen = false;
+  ++node.life;
+  node.pending_datagrams.clear();
   GossipOutput none;
   Apply(slot, none);
 }
 
 void GossipFleet::Converge() {
-  const std::string view = WholeView();
+  const std::string view = FullPullResponse();
   for (Slot& slot : slots_) {
     GossipOutput output;
-    slot.gossip->OnPullAnswer(now_, view, output);
+    slot.gossip->OnPullResponse(now_, view, output);
   }
 }
 
-std::string GossipFleet::WholeView() const {
-  membership::PullAnswer all;
+std::string GossipFleet::FullPullResponse() const {
+  membership::PullResponse all;
   all.sender = slots_[0].member.id;
   for (size_t part = 0; part < membership::kViewParts; ++part)
     all.parts.push_back(static_cast<uint8_t>(part));
@@ -141,8 +141,8 @@
   if (!slot.gossip)
     return;
   if (event.kind == Kind::kDatagram && slot.frozen) {
-    if (slot.waiting.size() < kLargestWaiting)
-      slot.waiting.emplace_back(from, std::move(event.bytes));
+    if (slot.pending_datagrams.size() < kMaxPendingDatagrams)
+      slot.pending_datagrams.emplace_back(from, std::move(event.bytes));
     return;
   }
   if (slot.frozen)
@@ -166,7 +166,7 @@
       return;
     }
     case Kind::kPullAnswer:
-      slot.gossip->OnPullAnswer(now_, event.bytes, output);
+      slot.gossip->OnPullResponse(now_, event.bytes, output);
       break;
     case Kind::kPullFailed:
       slot.gossip->OnPullFailed(now_);
@@ -179,7 +179,7 @@
   for (auto& datagram : output.datagrams) {
     const size_t to = SlotAt(datagram.to);
     ++traffic_.datagrams;
-    traffic_.datagram_bytes += datagram.bytes.size() + kPacketHead;
+    traffic_.datagram_bytes += datagram.bytes.size() + kPacketOverhead;
     if (to >= slots_.size() || !Delivers(slot, to))
       continue;
     if (Chance() < options_.duplication)
@@ -194,10 +194,10 @@
     Observe(slot, change);
   if (output.revision && on_revision_)
     on_revision_(slot, output.revision->revision);
-  Slot& place = slots_[slot];
-  const base::Instant next = std::max(place.gossip->NextRun(), now_);
-  if (place.timer == base::Instant() || next < place.timer) {
-    place.timer = next;
+  Slot& node = slots_[slot];
+  const base::Instant next = std::max(node.gossip->NextRun(), now_);
+  if (node.timer == base::Instant() || next < node.timer) {
+    node.timer = next;
     Schedule(next, Kind::kTimer, slot, slot, "");
   }
 }
@@ -205,9 +205,9 @@
 void GossipFleet::SendPull(size_t slot, membership::OutgoingPull& pull) {
   const size_t to = SlotAt(pull.control_address);
   ++traffic_.pulls;
-  traffic_.pull_bytes += pull.request.size() + kCallHeads;
-  const bool cut = is_cut_ && is_cut_(slot, to);
-  if (to >= slots_.size() || cut || !IsUp(to)) {
+  traffic_.pull_bytes += pull.request.size() + kCallHeaderBytes;
+  const bool is_cut_off = is_partitioned_ && is_partitioned_(slot, to);
+  if (to >= slots_.size() || is_cut_off || !IsUp(to)) {
     Schedule(now_ + kPullTimeout, Kind::kPullFailed, slot, slot, "");
     return;
   }
@@ -218,20 +218,21 @@
 void GossipFleet::Observe(size_t observer, const MemberChange& change) {
   const auto found = slot_of_.find(change.member.id);
   const size_t slot = found == slot_of_.end() ? size() : found->second;
-  const bool is_well = slot < size() && IsUp(slot) &&
-                       slots_[slot].member.id == change.member.id &&
-                       !(is_cut_ && is_cut_(observer, slot));
+  const bool is_reachable =
+      slot < size() && IsUp(slot) &&
+      slots_[slot].member.id == change.member.id &&
+      !(is_partitioned_ && is_partitioned_(observer, slot));
   const auto key = std::make_pair(observer, change.member.id);
   if (change.member.state == MemberState::kAlive) {
     const auto gone = gone_since_.find(key);
     if (gone != gone_since_.end()) {
-      false_alarms_.longest_gone =
-          std::max(false_alarms_.longest_gone, now_ - gone->second);
+      false_positives_.longest_gone =
+          std::max(false_positives_.longest_gone, now_ - gone->second);
       gone_since_.erase(gone);
     }
-  } else if (is_well) {
+  } else if (is_reachable) {
     const bool is_gone = change.member.state >= MemberState::kGone;
-    ++(is_gone ? false_alarms_.gone : false_alarms_.suspected);
+    ++(is_gone ? false_positives_.gone : false_positives_.suspected);
     if (is_gone)
       gone_since_.try_emplace(key, now_);
   }
@@ -240,13 +241,13 @@
 }
 
 bool GossipFleet::Delivers(size_t from, size_t to) {
-  if (is_cut_ && is_cut_(from, to))
+  if (is_partitioned_ && is_partitioned_(from, to))
     return false;
   return options_.loss <= 0 || Chance() >= options_.loss;
 }
 
 base::Duration GossipFleet::Delay(size_t from, size_t to) {
-  base::Duration delay = kNearDelay;
+  base::Duration delay = kLocalDelay;
   const size_t a = RegionOf(from);
   const size_t b = RegionOf(to);
   if (a != b)
@@ -280,40 +281,40 @@
 }
 
 void GossipFleet::Resume(size_t slot) {
-  Slot& place = slots_[slot];
-  place.frozen = false;
-  place.timer = {};
+  Slot& node = slots_[slot];
+  node.frozen = false;
+  node.timer = {};
   GossipOutput output;
-  place.gossip->Run(now_, output);
+  node.gossip->Run(now_, output);
   Apply(slot, output);
-  for (auto& [from, bytes] : std::exchange(place.waiting, {})) {
+  for (auto& [from, bytes] : std::exchange(node.pending_datagrams, {})) {
     GossipOutput received;
-    place.gossip->Receive(now_, from, bytes, received);
+    node.gossip->Receive(now_, from, bytes, received);
     Apply(slot, received);
   }
 }
 
 void GossipFleet::Start(size_t slot, size_t seed) {
-  StartAlone(slot);
-  Greet(slot, seed);
+  StartWithoutSeed(slot);
+  ContactSeed(slot, seed);
 }
 
-void GossipFleet::StartAlone(size_t slot) {
+void GossipFleet::StartWithoutSeed(size_t slot) {
   Kill(slot);
   AddGossip(slot);
 }
 
-void GossipFleet::Greet(size_t slot, size_t seed) {
+void GossipFleet::ContactSeed(size_t slot, size_t seed) {
   GossipOutput output;
   slots_[slot].gossip->Contact(now_, AddressOf(seed), output);
   Apply(slot, output);
 }
 
 void GossipFleet::Drain(size_t slot) {
-  Slot& place = slots_[slot];
-  place.member.server->draining = true;
+  Slot& node = slots_[slot];
+  node.member.server->draining = true;
   GossipOutput output;
-  place.gossip->Update(now_, place.member, output);
+  node.gossip->Update(now_, node.member, output);
   Apply(slot, output);
 }
 
@@ -330,25 +331,25 @@
   Apply(slot, output);
 }
 
-void GossipFleet::EndServer(
+void GossipFleet::CrashServer(
     size_t slot,
     uint32_t life,
     const std::vector<quarantine::RunningRequest>& running) {
-  Slot& place = slots_[slot];
-  std::vector<base::RequestFingerprint> told;
+  Slot& node = slots_[slot];
+  std::vector<base::RequestFingerprint> fingerprints;
   for (const auto& evidence :
-       place.ledger->AddCrash({{place.member.id, life}, running}, now_)) {
-    told.push_back(evidence.fingerprint);
+       node.ledger->AddCrash({{node.member.id, life}, running}, now_)) {
+    fingerprints.push_back(evidence.fingerprint);
   }
   GossipOutput output;
-  place.gossip->TellEvidence(now_, told, output);
+  node.gossip->AnnounceEvidence(now_, fingerprints, output);
   Apply(slot, output);
 }
 
 void GossipFleet::Refute(size_t slot, base::RequestFingerprint fingerprint) {
   GossipOutput output;
   if (slots_[slot].ledger->Refute(fingerprint, now_))
-    slots_[slot].gossip->TellEvidence(now_, {&fingerprint, 1}, output);
+    slots_[slot].gossip->AnnounceEvidence(now_, {&fingerprint, 1}, output);
   Apply(slot, output);
 }
 
