--- a/src/libs/admission/admission_controller.cc
+++ b/src/libs/admission/admission_controller.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A Retry-After of zero would tell the caller that a retry is pointless.
+// A Retry-After of zero would mean that a retry is pointless.
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(1);
 // An attempt is refused on arrival if less than this multiple of its mean
 // service time would remain between its start and its target. A third of the
@@ -20,8 +20,9 @@
 // cold server the wait is set by the rate limit and well known, and no other
 // server is better: a factor of 1 is enough there.
 constexpr int kTargetHeadroomFactor = 2;
-// The time left until the deadline at the start must exceed the recent service
-// time by one part in this many: one request in five takes longer than that.
+// An attempt starts only if the time left until its deadline is at least the
+// recent service time plus this fraction (1/N) of it: one request in five takes
+// longer than that.
 constexpr int kServiceTimeMarginDivisor = 4;
 
 }  // namespace
@@ -214,8 +215,8 @@
   queue_.Push(attempt);
   if (queue_.size() <= static_cast<size_t>(options_.queue))
     return {};
-  const auto least_fair = queue_.PopMostOverShare();
-  return {Refuse(least_fair->attempt, ErrorKind::kOverloaded, now)};
+  const auto most_over_share = queue_.PopMostOverShare();
+  return {Refuse(most_over_share->attempt, ErrorKind::kOverloaded, now)};
 }
 
 void AdmissionController::StartQueued(AdmissionActions& actions, Instant now) {
@@ -223,7 +224,8 @@
     const auto next = queue_.Pop(cold_limiter_.LeastUrgentRankAllowed(now));
     if (!next)
       return;
-    // Past its target, but other queued attempts can still be served in time.
+    // It would miss its target, and others that are queued may still meet
+    // theirs.
     const bool is_late = next->target && queue_.size() > 0 &&
                          now + ExpectedServiceTime(next->flow) > *next->target;
     if (!CanMeetDeadline(*next, now) || is_late) {
--- a/src/libs/admission/admission_controller.h
+++ b/src/libs/admission/admission_controller.h
@@ -44,8 +44,10 @@
   // Admits, queues or refuses an attempt. Each attempt runs at most once: a
   // second arrival with the same id is refused.
   AdmissionActions Arrive(const Arrival& arrival, base::Instant now);
-  // Returns the refusal that Arrive() would return now, or nothing if the
-  // attempt would be started or queued. Does not record the attempt.
+  // Returns the refusal that a new attempt would get now, or nothing if it
+  // would be started or queued. Does not record the attempt. Unlike Arrive(),
+  // checks neither for an earlier arrival with the same id nor for a full
+  // queue.
   std::optional<AdmissionAction> CheckRefusal(const Arrival& arrival,
                                               base::Instant now);
   // Returns whether an attempt with a kStart action may still be sent at `now`,
@@ -57,8 +59,9 @@
                           base::Instant now,
                           ServerResult result = ServerResult::kAnswered);
   // Guarantees that the attempt does not start after this call, even if it
-  // arrives later. Returns its state before the call, or kNeverRuns if it had
-  // not arrived; an attempt that was queued does not run.
+  // arrives later. Returns the state before the call: after kQueued, the
+  // attempt does not run. Returns kNeverRuns if it had not arrived, and
+  // kUnknown if its record may have been dropped.
   AttemptState Cancel(const base::AttemptId& attempt, base::Instant now);
   // Returns the state of the attempt without changing it.
   AttemptState State(const base::AttemptId& attempt) const;
@@ -114,9 +117,9 @@
   bool HasFreeSlot(base::Instant now) const;
   int Limit(base::Instant now) const;
   int Queued() const { return static_cast<int>(queue_.size()); }
-  // Returns the mean service time of the flow. The mean of all flows would hold
-  // back short requests as late when they share the server with long ones, and
-  // refuse them.
+  // Returns the mean service time of the flow, or that of all flows if the flow
+  // has no sample. The mean of all flows is too long for short requests that
+  // share the server with long ones: they would be refused as late.
   base::Duration ExpectedServiceTime(FlowId flow) const;
   // Returns whether a queued attempt may start at `start`. An attempt that must
   // not be interrupted needs enough time to finish by its deadline, judged by
--- a/src/libs/admission/attempt_ledger.cc
+++ b/src/libs/admission/attempt_ledger.cc
@@ -49,8 +49,8 @@
   const auto found = origins_.find(attempt.origin);
   if (found == origins_.end())
     return;
-  uint64_t& mark = found->second.highest_dropped_sequence;
-  mark = std::max(mark, attempt.sequence);
+  uint64_t& highest_dropped = found->second.highest_dropped_sequence;
+  highest_dropped = std::max(highest_dropped, attempt.sequence);
 }
 
 void AttemptLedger::ExpireIdleOrigins(Instant now) {
--- a/src/libs/admission/cold_start_limiter.cc
+++ b/src/libs/admission/cold_start_limiter.cc
@@ -13,11 +13,12 @@
 // How long a server is assumed cold unless its health check, which runs several
 // times a second, reports earlier.
 constexpr std::chrono::seconds kAssumedColdTime{3};
-// The longest delay between the decision and the arrival at the server on a
-// busy VM. Requests decided on within more than a second may therefore reach
-// the server within one second.
+// The longest delay between the start of a request and its arrival at the
+// server on a busy VM. Requests that start within one second plus this delay
+// may therefore arrive within one second.
 constexpr std::chrono::milliseconds kMaxSendDelay{100};
-// The health check that discovers a server is sent before its gate counts.
+// The health check that discovers a server is sent before its gate counts
+// requests.
 constexpr double kUncountedRequests = 1;
 // Tolerance for floating-point rounding when tokens are compared.
 constexpr double kRoundingTolerance = 1e-6;
@@ -28,14 +29,14 @@
 // holds more requests than declared.
 ColdStartOptions WithMargin(const ColdStartOptions& declared) {
   ColdStartOptions kept = declared;
-  const double late = Seconds(kMaxSendDelay).count();
-  kept.burst = declared.burst - kUncountedRequests - declared.rate * late;
+  const double max_delay = Seconds(kMaxSendDelay).count();
+  kept.burst = declared.burst - kUncountedRequests - declared.rate * max_delay;
   if (kept.burst >= 1 || declared.rate <= 0)
     return kept;
   kept.burst = 1;
-  const double in_a_second = declared.rate + declared.burst;
-  kept.rate =
-      std::max(kMinRate, (in_a_second - kUncountedRequests - 1) / (1 + late));
+  const double max_per_second = declared.rate + declared.burst;
+  kept.rate = std::max(
+      kMinRate, (max_per_second - kUncountedRequests - 1) / (1 + max_delay));
   return kept;
 }
 
@@ -124,8 +125,9 @@
 void ColdStartLimiter::ConsumeToken(Instant now) {
   if (options_.rate <= 0)
     return;
-  // While the server is warm, the debt is limited to the requests of one
-  // second, which count if the server reports now that it is cold.
+  // The rate of a warm server is not limited, so the tokens may become
+  // negative. This debt is limited to the requests of one second: they count if
+  // the server now reports that it is cold.
   const double least = std::min(0.0, options_.burst - options_.rate);
   tokens_ = std::max(TokensAt(now) - 1, least);
   tokens_updated_at_ = now;
--- a/src/libs/admission/cold_start_limiter.h
+++ b/src/libs/admission/cold_start_limiter.h
@@ -66,7 +66,7 @@
   // none may.
   int LeastUrgentRankAllowed(base::Instant now) const;
   // Returns the time until the last of `requests` may be sent to the server,
-  // one after the other.
+  // one after the other; zero if no rate limit applies.
   base::Duration TimeUntilAllowed(double requests,
                                   int rank,
                                   base::Instant now) const;
--- a/src/libs/admission/concurrency_limit.cc
+++ b/src/libs/admission/concurrency_limit.cc
@@ -11,9 +11,10 @@
 using base::Instant;
 using Seconds = std::chrono::duration<double>;
 
-// Factor on the limit in a downward trial.
+// Factor on the limit in a downward trial, divisor in an upward trial.
 constexpr double kTrialFactor = 0.6;
-// Part of the change expected from queueing that confirms it.
+// If requests queue inside the server, the service time changes in proportion
+// to the limit. This share of that change confirms the queueing.
 constexpr double kQueueingThreshold = 0.5;
 // Ratio of the service time to the reference that starts a downward trial.
 constexpr double kCongestedRatio = 1.4;
@@ -24,9 +25,12 @@
 // Windows until the first upward trial; doubles after each failed one.
 constexpr int kUpTrialInterval = 2;
 constexpr int kMaxUpTrialInterval = 16;
+// Smoothing factors of the mean service time and of the reference.
 constexpr double kRecentGain = 0.05;
 constexpr double kReferenceGain = 0.25;
 constexpr double kWarmUpShare = 0.25;  // Share of the slots at a server start.
+// Once no request has been at the limit for kIdle, the limit rises by one every
+// kIdleStep.
 constexpr std::chrono::milliseconds kIdle(500);
 constexpr std::chrono::milliseconds kIdleStep(50);
 
@@ -51,11 +55,11 @@
 }
 
 void ConcurrencyLimit::StartWarmUp(Instant now) {
-  const Duration ramp = warm_up_time_;
+  const Duration warm_up_time = warm_up_time_;
   *this = ConcurrencyLimit(slots_);
   changed_at_ = now;
   warm_up_started_at_ = now;
-  warm_up_time_ = ramp;
+  warm_up_time_ = warm_up_time;
 }
 
 void ConcurrencyLimit::OnServed(Instant started,
@@ -72,8 +76,8 @@
   if (started < changed_at_ || Limit(now) < limit_)
     return;
   window_sum_ += seconds;
-  const int usual = trial_ == Trial::kUp ? limit_before_ : limit_;
-  if (++window_count_ < kSamplesPerSlot * usual)
+  const int stable_limit = trial_ == Trial::kUp ? limit_before_ : limit_;
+  if (++window_count_ < kSamplesPerSlot * stable_limit)
     return;
   const double mean = window_sum_ / window_count_;
   window_sum_ = 0;
@@ -93,9 +97,10 @@
 int ConcurrencyLimit::Limit(Instant now) const {
   if (now >= warm_up_started_at_ + warm_up_time_)
     return limit_;
-  const double warm =
+  const double progress =
       Seconds(now - warm_up_started_at_) / Seconds(warm_up_time_);
-  const double share = kWarmUpShare + (1 - kWarmUpShare) * std::max(0.0, warm);
+  const double share =
+      kWarmUpShare + (1 - kWarmUpShare) * std::max(0.0, progress);
   return std::max(1, std::min(limit_, static_cast<int>(slots_ * share)));
 }
 
@@ -123,12 +128,12 @@
 
 void ConcurrencyLimit::EndTrial(double mean, Instant now) {
   const double change = static_cast<double>(limit_) / limit_before_ - 1;
-  const bool is_queueing_inside =
+  const bool is_queueing_in_server =
       trial_ == Trial::kUp
           ? mean > mean_before_ * (1 + kQueueingThreshold * change)
           : mean < mean_before_ * (1 + kQueueingThreshold * change);
   const Trial trial = std::exchange(trial_, Trial::kNone);
-  const bool keep = (trial == Trial::kDown) == is_queueing_inside;
+  const bool keep = (trial == Trial::kDown) == is_queueing_in_server;
   if (keep) {
     mean_before_ = mean;
     reference_ = mean;
--- a/src/libs/admission/concurrency_limit.h
+++ b/src/libs/admission/concurrency_limit.h
@@ -66,6 +66,7 @@
 
   Trial trial_ = Trial::kNone;
   int limit_before_ = 0;  // The limit before the current trial.
+  // Mean service time of the last window before the trial, in seconds.
   double mean_before_ = 0;
   double reference_ = 0;  // Mean service time without congestion, in seconds.
   int windows_until_up_trial_ = 0;
--- a/src/libs/admission/fair_queue.cc
+++ b/src/libs/admission/fair_queue.cc
@@ -13,11 +13,12 @@
 using base::Instant;
 
 constexpr size_t kMaxFlows = 256;
-// Weight of a class relative to the next one.
+// Weight of a class relative to the next less urgent one.
 constexpr double kClassRatio = 8;
+// Server time per request in seconds, assumed before the first sample.
 constexpr double kDefaultCost = 0.001;
 
-// The flow shared by all tenants above kMaxFlows.
+// Tenant name of the flow that new tenants of a class share above kMaxFlows.
 constexpr char kOtherTenants[] = "";
 
 // Returns the classes with their ranks and weights, the most urgent first.
@@ -132,16 +133,16 @@
 
 std::optional<QueuedAttempt> FairQueue::PopMostOverShare() {
   FlowId most = -1;
-  double most_for_share = 0;
+  double most_queued_per_weight = 0;
   for (const ClassState& parent : classes_) {
     for (const FlowId id : parent.active) {
       const FlowState& flow = flows_[id];
-      const double for_share =
+      const double queued_per_weight =
           static_cast<double>(flow.waiting.size()) / Weight(flow);
-      if (for_share < most_for_share)
+      if (queued_per_weight < most_queued_per_weight)
         continue;
       most = id;
-      most_for_share = for_share;
+      most_queued_per_weight = queued_per_weight;
     }
   }
   if (most < 0)
@@ -181,16 +182,16 @@
 
 double FairQueue::RequestsAhead(FlowId id) const {
   const FlowState& flow = flows_[id];
-  const auto own = static_cast<double>(flow.waiting.size());
-  const double turns_for_weight = (own + 1) / Weight(flow);
-  double ahead = own;
+  const auto own_queued = static_cast<double>(flow.waiting.size());
+  const double turns_per_weight = (own_queued + 1) / Weight(flow);
+  double ahead = own_queued;
   for (const ClassState& parent : classes_) {
     for (const FlowId other_id : parent.active) {
       if (other_id == id)
         continue;
       const FlowState& other = flows_[other_id];
       ahead += std::min(static_cast<double>(other.waiting.size()),
-                        turns_for_weight * Weight(other));
+                        turns_per_weight * Weight(other));
     }
   }
   return ahead;
--- a/src/libs/admission/fair_queue.h
+++ b/src/libs/admission/fair_queue.h
@@ -40,7 +40,8 @@
   // Removes the next attempt to run with a rank up to `max_rank`. Returns
   // nothing if there is none.
   std::optional<QueuedAttempt> Pop(int max_rank = kLeastUrgentRank);
-  // Removes an attempt whose deadline has passed.
+  // Removes an attempt whose deadline has passed. Returns nothing if there is
+  // none.
   std::optional<QueuedAttempt> PopExpired(base::Instant now);
   // Removes the attempt with the latest deadline from the flow that has the
   // most queued attempts relative to its weight.
--- a/src/libs/admission/probe_scheduler.cc
+++ b/src/libs/admission/probe_scheduler.cc
@@ -47,8 +47,8 @@
       std::min<Duration>(kProbeBudgetWindow, now - started_at_);
   Duration left = std::chrono::duration_cast<Duration>(
       std::chrono::duration<double>(window) * options_.budget);
-  for (const BudgetUse& payment : budget_uses_)
-    left -= payment.cost;
+  for (const BudgetUse& use : budget_uses_)
+    left -= use.cost;
   if (left < kMinProbeTime)
     return std::nullopt;
   const Duration time_limit = std::min<Duration>(left, longest);
--- a/src/libs/admission/probe_scheduler.h
+++ b/src/libs/admission/probe_scheduler.h
@@ -41,9 +41,9 @@
 
   // Starts a probe if one is due. Returns its time limit, or nothing.
   std::optional<base::Duration> StartIfDue(base::Instant now);
-  // Returns whether the server's last answer is too old to start a request on.
-  // False for a short time after a probe without an answer: the server is then
-  // known to be slow.
+  // Returns whether the server's last answer is too old to show its current
+  // speed. False for a short time after a probe without an answer: the server
+  // is then known to be slow.
   bool IsStale(base::Instant now) const;
   // Starts a probe that a request waits for, regardless of `quiet`. Returns its
   // time limit, or nothing if a probe is running or the budget is used up.
--- a/src/libs/admission/server_crash_detector.h
+++ b/src/libs/admission/server_crash_detector.h
@@ -46,7 +46,7 @@
 
   void OnInterrupted(const InterruptedRequest& request);
   // The server answered a request or a probe that started at `begun`: it was
-  // healthy then, so earlier interruptions were no crash.
+  // healthy then, so earlier interruptions had another cause than a crash.
   void OnAnswer(base::Instant begun);
   // The server's address refuses connections.
   void OnConnectionRefused(base::Instant now);
--- a/src/libs/admission/server_liveness.h
+++ b/src/libs/admission/server_liveness.h
@@ -15,8 +15,9 @@
   // The server announced that it leaves.
   void OnLeft() { announced_ = false; }
 
-  // Returns false if three announcements in a row are missing and the server
-  // answered nothing in that time.
+  // Returns false before the first announcement, after OnLeft(), and if three
+  // announcements in a row are missing and the server answered nothing in that
+  // time.
   bool IsAlive(base::Instant now) const;
 
   // Returns whether there was no announcement, or none for twice the usual
