--- a/src/libs/gate/gate.cc
+++ b/src/libs/gate/gate.cc
@@ -207,8 +207,8 @@
   pause_detector_.Update(now);
   Perform(admission_.Tick(now));
   observer_.Tick(now);
-  if (const auto broken = observer_.TakeCrash(now))
-    OnServerCrashed(*broken);
+  if (const auto interrupted = observer_.TakeCrash(now))
+    OnServerCrashed(*interrupted);
   if (now >= reported_at_ + kReportInterval)
     Report(now);
   ticker_ = loop_.CallAfter(kTickInterval, [this] { Tick(); });
--- a/src/libs/gate/gate.h
+++ b/src/libs/gate/gate.h
@@ -86,8 +86,8 @@
   // Admits the requests that waited for an on-demand probe.
   void AdmitDeferred();
   void Admit(GateArrival arrival);
-  // Answers the request with an error if the server must not get it. Returns
-  // whether it did.
+  // Answers the request with an error if this server cannot or must not run it,
+  // or if another server would do better. Returns whether it did.
   bool RejectIfUnservable(GateArrival& arrival, base::Instant now);
   // Returns the refusal if the request must not be queued because of a
   // quarantine verdict.
--- a/src/libs/gate/gate_admission.cc
+++ b/src/libs/gate/gate_admission.cc
@@ -146,8 +146,8 @@
   const wire::PeerRequestHead& head = arrival.head;
   // A duplicate of a known attempt must not be answered with "not run".
   const bool is_new = admission_.State(head.attempt) == AttemptState::kUnknown;
-  // A request that ran under its key is answered from the record. A new one is
-  // refused when it would start.
+  // A request whose key has been used is answered from the key's record. If the
+  // key is new, the verdict is checked when the request would start.
   const bool has_key = KeyedRequests::HasKey(arrival.request);
   if (!is_new || has_key)
     return std::nullopt;
--- a/src/libs/gate/gate_serving.cc
+++ b/src/libs/gate/gate_serving.cc
@@ -176,13 +176,13 @@
 
 void Gate::CancelQuarantined() {
   const base::Instant now = base::Clock::now();
-  std::vector<std::pair<AttemptId, base::Duration>> dropped;
+  std::vector<std::pair<AttemptId, base::Duration>> quarantined;
   for (const auto& [id, attempt] : attempts_) {
     const auto refusal = guard_.Judge(attempt->guarded, now);
     if (refusal && refusal->error == ErrorKind::kRequestQuarantined)
-      dropped.emplace_back(id, refusal->retry_after);
+      quarantined.emplace_back(id, refusal->retry_after);
   }
-  for (const auto& [id, retry_after] : dropped) {
+  for (const auto& [id, retry_after] : quarantined) {
     const auto found = attempts_.find(id);
     if (found == attempts_.end())
       continue;
--- a/src/libs/gate/keyed_requests.cc
+++ b/src/libs/gate/keyed_requests.cc
@@ -22,15 +22,17 @@
 }
 
 // Returns nothing if the key may be used.
-std::optional<net::HttpAnswer> AnswerTo(const keys::OwnershipDecision& status) {
-  switch (status.status) {
+std::optional<net::HttpAnswer> AnswerTo(
+    const keys::OwnershipDecision& decision) {
+  switch (decision.status) {
     case OwnershipStatus::kMayRun:
       return std::nullopt;
     case OwnershipStatus::kUncertain:
-      return net::MakeErrorAnswer(ErrorKind::kKeyUncertain, status.retry_after);
+      return net::MakeErrorAnswer(ErrorKind::kKeyUncertain,
+                                  decision.retry_after);
     case OwnershipStatus::kSettling:
       return net::MakeErrorAnswer(ErrorKind::kKeyRecordUnavailable,
-                                  status.retry_after);
+                                  decision.retry_after);
     case OwnershipStatus::kNotOwner:
     case OwnershipStatus::kNoValidView:
       break;
@@ -85,12 +87,12 @@
   keys::KeyScope scope{head.service, head.tenant,
                        std::string(net::FindHeader(
                            request.headers, wire::kIdempotencyKeyHeader))};
-  const auto status =
+  const auto ownership =
       ownership_.StatusOf(scope.Hash(), base::ParseDuration(age), now);
-  // A key with a record here is known regardless of changes of ownership.
+  // A record held by this node is used even if the key now has another owner.
   const bool is_known = ledger_.Contains(scope);
   if (!is_known) {
-    if (auto answer = AnswerTo(status))
+    if (auto answer = AnswerTo(ownership))
       return answer;
   }
   const auto claim = ledger_.Begin(scope, keys::Fingerprint(request), now);
@@ -121,10 +123,10 @@
   const keys::KeyScope& scope = ended.mapped();
   const auto head = wire::PeerAnswerHead::Read(answer.headers);
   const bool is_unsent = head.error == ErrorKind::kKeyRecordUnavailable;
-  net::HttpAnswer kept = answer;
-  net::RemoveHeader(kept.headers, wire::kServerTimeHeader);
+  net::HttpAnswer stored = answer;
+  net::RemoveHeader(stored.headers, wire::kServerTimeHeader);
   if (head.outcome == base::Outcome::kAnswered)
-    ledger_.OnAnswer(scope, kept, now);
+    ledger_.OnAnswer(scope, stored, now);
   else if (head.outcome == base::Outcome::kNotRun || is_unsent)
     ledger_.OnNotRun(scope);
   else
