--- a/src/libs/traffic/peer_paths.h
+++ b/src/libs/traffic/peer_paths.h
@@ -4,8 +4,8 @@
 
 namespace chestnutport::traffic {
 
-// Capacity inquiry: asks whether a gate would admit a request; status of a
-// positive answer.
+// Path of the capacity inquiry, which checks whether a gate would admit a
+// request, and the HTTP status of a positive answer.
 inline constexpr char kCapacityInquiryPath[] = "/chestnutport/place";
 inline constexpr int kCapacityAvailable = 204;
 
--- a/src/libs/traffic/running_requests.h
+++ b/src/libs/traffic/running_requests.h
@@ -2,9 +2,9 @@
 // callers gave them. Written by the gate thread, and read by the ingress
 // thread, which receives the calls that the server makes meanwhile.
 //
-// A server names a nested call after the request that it makes it for: the
-// request's name, a separator, and more. A call that is not named so is treated
-// as any other request.
+// The name of a nested call starts with the name of the request that the server
+// makes it for, followed by a separator. A call with another name is treated as
+// an ordinary request.
 #ifndef TRAFFIC_RUNNING_REQUESTS_H_
 #define TRAFFIC_RUNNING_REQUESTS_H_
 
