--- a/src/libs/routing/recent_strain.cc
+++ b/src/libs/routing/recent_strain.cc
@@ -5,7 +5,7 @@
 namespace chestnutport::routing {
 namespace {
 
-// Rank of the usual strain among the sorted reports: one part in so many.
+// The usual strain is the report at this fraction (1/N) of the sorted reports.
 constexpr size_t kUsualRankDivisor = 8;
 
 }  // namespace
--- a/src/libs/routing/recent_strain.h
+++ b/src/libs/routing/recent_strain.h
@@ -1,9 +1,9 @@
 // Estimates the usual strain of a service's servers from recent load reports.
 // Strain: the work that a successful answer costs, relative to normal.
 //
-// Servers are compared with this instead of with 1, because after all VMs of a
-// fleet started every server is cold, and none is a poor choice for being as
-// slow as the others.
+// Servers are compared with this instead of with 1: when all VMs of a fleet
+// have just started, every server is cold, and one that is as slow as the
+// others is not a poor choice.
 #ifndef ROUTING_RECENT_STRAIN_H_
 #define ROUTING_RECENT_STRAIN_H_
 
@@ -17,16 +17,15 @@
   // Records the strain reported by one server's gate.
   void OnReport(double strain);
 
-  // Returns the lowest eighth (12.5th percentile) of the recent reports, at
-  // least 1. The percentile is low because slow servers return work and so
-  // report more often: with a third of the servers slow, six of ten reports
-  // come from them.
+  // Returns the 12.5th percentile of the recent reports, at least 1. The
+  // percentile is low because slow servers return work and so report more
+  // often: with a third of the servers slow, six of ten reports come from them.
   double usual() const { return usual_; }
 
  private:
   // Enough reports that an eighth of them is more than one, and few enough that
-  // a node with about ten requests per second notices a change within one
-  // second.
+  // the estimate of a node with about ten requests per second follows a change
+  // within one second.
   static constexpr size_t kMaxReports = 12;
 
   std::array<double, kMaxReports> reports_{};
--- a/src/libs/routing/server_chooser.h
+++ b/src/libs/routing/server_chooser.h
@@ -93,8 +93,8 @@
                 base::Instant now,
                 BestCandidate& best) const;
   void AddToIndexes(uint32_t position);
-  // Returns the requests the server may run concurrently; fewer while it is
-  // cold.
+  // Returns how many requests the server may run concurrently; fewer than its
+  // slots while it is cold.
   int EffectiveSlots(const ServerCandidate& candidate) const;
 
   Locality own_locality_;
--- a/src/libs/routing/server_estimate.cc
+++ b/src/libs/routing/server_estimate.cc
@@ -13,22 +13,22 @@
 constexpr double kReportWeight = 0.15;
 // Penalty on the expected time at full load, even before requests queue: a
 // share of the usual latency, plus a fixed time. Keeps loads even, and keeps
-// short requests from filling a nearby server before the other nodes learn of
-// its load.
+// short requests from filling a nearby server before its load is reported to
+// the other nodes.
 constexpr double kLoadPenaltyShare = 0.5;
 constexpr Seconds kLoadPenaltyTime(0.008);
 
 // Half-life of a reported strain. Slow periods caused by a busy neighbour of a
-// VM last about 300 ms, and the report does not tell when one began.
+// VM last about 300 ms, and the report does not include when the period began.
 constexpr Seconds kStrainHalfLife(0.15);
 
 // A new server starts with this share of its slots and has all of them after
 // the warm-up time.
 constexpr double kInitialSlotShare = 0.5;
 constexpr Seconds kWarmUpTime(0.3);
-// Penalty if a request has to queue, as a share of the usual latency: it is not
-// known how long the requests ahead hold their slots, least of all if they make
-// calls of their own.
+// Penalty if a request has to queue, as a share of the usual latency. The time
+// for which the requests ahead hold their slots is unknown, especially if they
+// make calls of their own.
 constexpr double kQueueingPenalty = 0.5;
 
 // Time for which a server is avoided after a refusal. Longer if it was below
@@ -126,18 +126,18 @@
 double ServerEstimate::Slowness(const ServiceEstimate& service,
                                 base::Instant now) const {
   const double slowness = DecayedSlowness(service, now);
-  // A small remainder is ignored, otherwise the server would be starved.
+  // A small remainder is ignored, so that the server gets requests again.
   return slowness < kSlownessThreshold ? 1 : slowness;
 }
 
 double ServerEstimate::DecayedSlowness(const ServiceEstimate& service,
                                        base::Instant now) const {
-  const double seen = latency_ / service.typical_latency();
-  if (seen <= 1)
+  const double relative_latency = latency_ / service.typical_latency();
+  if (relative_latency <= 1)
     return 1;
   const Seconds age = now - latency_updated_at_;
   const Seconds half_life = kSlownessHalfLife * (1 << consecutive_slow_);
-  return 1 + (seen - 1) * std::exp2(-(age / half_life));
+  return 1 + (relative_latency - 1) * std::exp2(-(age / half_life));
 }
 
 double ServerEstimate::SilencePenalty(const ServiceEstimate& service,
@@ -145,8 +145,8 @@
   if (own_in_flight_ == 0)
     return 0;
   const Seconds silent = now - silent_since_;
-  const double usual = silent / service.typical_latency();
-  return usual < kSilenceThreshold ? 0 : usual;
+  const double relative_silence = silent / service.typical_latency();
+  return relative_silence < kSilenceThreshold ? 0 : relative_silence;
 }
 
 void ServerEstimate::OnReport(const wire::LoadReport& load,
@@ -172,12 +172,12 @@
                                      const ServiceEstimate& service,
                                      base::Instant now) const {
   const double load = Load(slots, service, now);
-  const double waiting = load > 1 ? kQueueingPenalty + load - 1 : 0;
+  const double queueing = load > 1 ? kQueueingPenalty + load - 1 : 0;
   const double slowness = Strain(service, now);
   const Seconds usual = service.typical_latency();
-  const Seconds pressure =
+  const Seconds load_penalty =
       (usual * kLoadPenaltyShare + kLoadPenaltyTime) * load * load;
-  return slowness * (usual * (1 + waiting) + pressure) +
+  return slowness * (usual * (1 + queueing) + load_penalty) +
          SilencePenalty(service, now) * usual;
 }
 
@@ -218,8 +218,8 @@
   if (!has_report_)
     return usual;
   const Seconds age = now - reported_at_;
-  const double trust = 1 / (1 + age / kReportHalfLife);
-  return usual + (load_from_other_nodes_ - usual) * trust;
+  const double report_weight = 1 / (1 + age / kReportHalfLife);
+  return usual + (load_from_other_nodes_ - usual) * report_weight;
 }
 
 }  // namespace chestnutport::routing
--- a/src/libs/routing/server_estimate.h
+++ b/src/libs/routing/server_estimate.h
@@ -29,8 +29,8 @@
                        const ServiceEstimate& service,
                        base::Instant now) const;
 
-  // Returns the requests the server would have with one more, as a share of its
-  // usable slots.
+  // Returns the load with one more request: the number of requests at the
+  // server as a multiple of its usable slots.
   double Load(int slots,
               const ServiceEstimate& service,
               base::Instant now) const;
