--- a/src/libs/calls/adaptive_timeouts.cc
+++ b/src/libs/calls/adaptive_timeouts.cc
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 
 constexpr std::chrono::seconds kWindow(10);
-// Quantiles change slowly, so they are computed only once in so many calls.
+// Quantiles change slowly, so they are computed only once per this many calls.
 constexpr int kCallsPerRefresh = 64;
 constexpr double kSlowQuantile = 0.99;
 constexpr int kQueryDelayFactor = 4;
--- a/src/libs/calls/attempt_status.h
+++ b/src/libs/calls/attempt_status.h
@@ -10,7 +10,7 @@
   kQueued,       // Waits for a slot of the server.
   kRunning,      // Was handed to the server.
   kFinished,     // The server answered, or its connection was lost.
-  kUnknownHere,  // Has not arrived yet, but still may.
+  kUnknownHere,  // No record: may still arrive, or may have run.
   kNoAnswer,     // The gate could not be reached or did not reply.
 };
 
--- a/src/libs/calls/call.cc
+++ b/src/libs/calls/call.cc
@@ -9,8 +9,7 @@
 using base::Instant;
 
 constexpr int kNoAttempt = -1;
-// At most one part in so many of the time to the deadline is used for
-// cancelling.
+// The cancel lead is at most this fraction (1/N) of the time to the deadline.
 constexpr int kCancelLeadDivisor = 4;
 
 // A refusal due to overload: the other servers may be overloaded too.
@@ -215,8 +214,8 @@
     ++server_refusals_;
   last_refusal_ = error;
   retry_after_ = retry_after;
-  // A retry or hedge that was returned before it ran is sent to another server,
-  // even while other attempts are in flight.
+  // A retry or hedge that a slow server's gate returned unrun is sent to
+  // another server, even while other attempts are in flight.
   const bool moves_on =
       error == ErrorKind::kServerSlow && policy_.is_repeatable && MaySend(now);
   if (moves_on || MayResendUnrun(error, now))
--- a/src/libs/calls/call.h
+++ b/src/libs/calls/call.h
@@ -5,7 +5,8 @@
 // Two invariants hold for any order of events:
 // - A request that is not repeatable is sent again only once every earlier
 //   attempt is known never to run.
-// - The caller is told "not run" only if this is known of every attempt.
+// - The caller gets the outcome "not run" only if it is known that no attempt
+//   ran or will run.
 #ifndef CALLS_CALL_H_
 #define CALLS_CALL_H_
 
@@ -31,7 +32,8 @@
   NextSteps Start(base::Instant now);
   // No server was available for `attempt`.
   NextSteps OnNoServer(int attempt, base::Instant now);
-  // The request is quarantined for `retry_after`: no server may be given it.
+  // The request is quarantined for `retry_after` and must not be sent to any
+  // server.
   NextSteps OnQuarantined(int attempt,
                           base::Duration retry_after,
                           base::Instant now);
@@ -73,11 +75,14 @@
   bool IsInFlight() const;
   // Number of servers that received the request, or may have.
   int ServersReached() const;
-  // Whether an attempt's answer or the reply to a status query is outstanding.
+  // Whether an attempt is in flight, or the reply to the cancellation of a lost
+  // one is outstanding.
   bool HasOpenAttempts() const;
   bool MayHaveRun() const;
   bool MaySend(base::Instant now) const;
   bool MayRetry(base::Instant now) const;
+  // Whether an attempt that was refused without running may be sent to another
+  // server. Takes from the budget that applies.
   bool MayResendUnrun(base::ErrorKind refusal, base::Instant now);
   bool TryTakeRetry();
   void Send(NextSteps& steps, base::Instant now);
--- a/src/libs/calls/call_policy.h
+++ b/src/libs/calls/call_policy.h
@@ -11,7 +11,7 @@
 struct CallPolicy {
   // The request is idempotent, so it may run more than once.
   bool is_repeatable = false;
-  // A level above retries this work if it fails, so this level does not. An
+  // An enclosing call retries this work if it fails, so this call does not. An
   // attempt that is known not to have run may still be sent elsewhere.
   bool is_retried_above = false;
   // Only one particular server may run the request; it is never sent to
@@ -30,7 +30,7 @@
   // Time without an answer after which the attempt's status is queried.
   base::Duration status_query_delay = std::chrono::seconds(1);
   // Time before the deadline at which attempts that have not started are
-  // cancelled, so that the caller can be told that the request did not run.
+  // cancelled, so that the outcome "not run" can be reported to the caller.
   base::Duration cancel_lead = std::chrono::milliseconds(20);
 };
 
--- a/src/libs/calls/call_status_queries.cc
+++ b/src/libs/calls/call_status_queries.cc
@@ -10,8 +10,8 @@
 using base::Instant;
 
 constexpr std::chrono::seconds kMaxQueryInterval(1);
-// The answer may still be in transit when its server is reported to have
-// finished.
+// Time until the next query after the server is first reported to have
+// finished: its answer may still be in transit.
 constexpr std::chrono::milliseconds kFinishedGrace(250);
 
 }  // namespace
--- a/src/libs/calls/fleet_retry_limit.h
+++ b/src/libs/calls/fleet_retry_limit.h
@@ -20,9 +20,10 @@
   double burst = 0;
 };
 
-// Returns the limit of one of `nodes` nodes, such that the fleet keeps `limit`
-// without coordination. `nodes` should be the greatest number seen recently, so
-// that a node in a partition does not use the share of those it cannot reach.
+// Returns the limit of one of `nodes` nodes, such that the fleet stays within
+// `limit` without coordination. `nodes` should be the greatest number seen
+// recently, so that a node in a partition does not use the share of those it
+// cannot reach.
 NodeRetryLimit PerNodeRetryLimit(const FleetRetryLimit& limit, size_t nodes);
 
 }  // namespace chestnutport::calls
