--- a/src/libs/ingress/attempt_canceller.cc
+++ b/src/libs/ingress/attempt_canceller.cc
@@ -3,9 +3,9 @@
 namespace chestnutport::ingress {
 namespace {
 
-// Another node replies within a round trip of a few milliseconds. All requests
-// together take less than half a second, the time within which work for a
-// caller that disconnected has to stop.
+// Another node replies within a round trip of a few milliseconds. The time-outs
+// of all requests add up to less than half a second, the time within which work
+// for a caller that disconnected has to stop.
 constexpr std::chrono::milliseconds kTimeout(150);
 constexpr int kMaxRequests = 3;
 
--- a/src/libs/ingress/attempt_canceller.h
+++ b/src/libs/ingress/attempt_canceller.h
@@ -14,9 +14,9 @@
   // Both must outlive the canceller.
   AttemptCanceller(AttemptSender& sender, AttemptControlClient& control_client);
 
-  // `command`: kCancel or kStop. Retries a few times until the server's node
-  // replies. After a time-out the attempt's connection is closed as well, which
-  // the node treats as a cancellation.
+  // `command`: kCancel or kStop. Sends it up to three times until the server's
+  // node replies. After a time-out the attempt's connection is closed as well,
+  // which the node treats as a cancellation.
   void Cancel(const routing::ServerCandidate& server,
               const base::AttemptId& attempt,
               AttemptCommand command);
--- a/src/libs/ingress/attempt_control_client.cc
+++ b/src/libs/ingress/attempt_control_client.cc
@@ -12,19 +12,20 @@
 
 using calls::AttemptStatus;
 
-struct State {
+struct StatusName {
   const char* name;
-  AttemptStatus answer;
+  AttemptStatus status;
 };
 
 // Names in messages between nodes.
-constexpr State kStates[] = {{"never-runs", AttemptStatus::kNeverRuns},
-                             {"queued", AttemptStatus::kQueued},
-                             {"running", AttemptStatus::kRunning},
-                             {"finished", AttemptStatus::kFinished},
-                             {"unknown-here", AttemptStatus::kUnknownHere}};
+constexpr StatusName kStatusNames[] = {
+    {"never-runs", AttemptStatus::kNeverRuns},
+    {"queued", AttemptStatus::kQueued},
+    {"running", AttemptStatus::kRunning},
+    {"finished", AttemptStatus::kFinished},
+    {"unknown-here", AttemptStatus::kUnknownHere}};
 
-AttemptStatus ReadAnswer(const net::TransferResult& result) {
+AttemptStatus ReadStatus(const net::TransferResult& result) {
   std::string text;
   std::string error;
   if (result.end != net::TransferEnd::kComplete ||
@@ -35,9 +36,9 @@
   const auto answer = nlohmann::json::parse(text, nullptr, false);
   if (!answer.is_object() || !answer.contains("state"))
     return AttemptStatus::kNoAnswer;
-  for (const State& state : kStates) {
+  for (const StatusName& state : kStatusNames) {
     if (answer["state"] == state.name)
-      return state.answer;
+      return state.status;
   }
   return AttemptStatus::kNoAnswer;
 }
@@ -67,7 +68,7 @@
   client_.Send(
       server.peer_address, std::move(request), timeout,
       [handler = std::move(handler)](const net::TransferResult& result) {
-        handler(ReadAnswer(result));
+        handler(ReadStatus(result));
       });
 }
 
--- a/src/libs/ingress/attempt_sender.cc
+++ b/src/libs/ingress/attempt_sender.cc
@@ -14,8 +14,8 @@
 using calls::AttemptVerdict;
 
 constexpr int kServerError = 500;
-// The call enforces its deadline itself; a transfer must not time out before
-// it.
+// Added to the time-out of a transfer: the call enforces its deadline itself,
+// and the transfer must not time out before it.
 constexpr std::chrono::milliseconds kTransferSlack(500);
 
 // Connecting to another node takes one round trip. After a time-out nothing was
@@ -147,13 +147,13 @@
   if (found == in_flight_.end())
     return;
   InFlight& sent = found->second;
-  const bool is_whole = result.end == net::TransferEnd::kComplete;
-  const bool has_place =
-      is_whole && result.answer.status == traffic::kCapacityAvailable;
+  const bool is_complete = result.end == net::TransferEnd::kComplete;
+  const bool has_capacity =
+      is_complete && result.answer.status == traffic::kCapacityAvailable;
   // The request itself was not sent, whatever the result of the inquiry.
-  if (!is_whole)
+  if (!is_complete)
     result.end = net::TransferEnd::kNotSent;
-  if (!has_place || !sent.handler) {
+  if (!has_capacity || !sent.handler) {
     OnDone(attempt, std::move(result));
     return;
   }
@@ -165,8 +165,8 @@
     pending.head.target_in =
         std::max<base::Duration>(*pending.head.target_in - waited, {});
   }
-  // The gate may no longer return the request, as its body has been
-  // transferred.
+  // The gate may no longer return the request: its body would be transferred
+  // again.
   pending.head.may_move = false;
   pending.head.may_move_if_full = false;
   Transmit(sent, std::move(pending));
@@ -216,10 +216,10 @@
 }
 
 void AttemptSender::CancelStream(const base::AttemptId& attempt) {
-  const auto given_up = in_flight_.extract(attempt);
-  if (given_up.empty())
+  const auto cancelled = in_flight_.extract(attempt);
+  if (cancelled.empty())
     return;
-  const InFlight& sent = given_up.mapped();
+  const InFlight& sent = cancelled.mapped();
   client_.Cancel(sent.transfer);
   sent.service->chooser().OnEnded(
       sent.node,
--- a/src/libs/ingress/attempt_sender.h
+++ b/src/libs/ingress/attempt_sender.h
@@ -32,8 +32,9 @@
   // `loop` must outlive the sender.
   AttemptSender(net::EventLoop& loop, control_calls::PeerKeys keys);
 
-  // Calls `handler` once, never from within Send(), unless the attempt is
-  // dropped or abandoned first. `service` must outlive the attempt.
+  // Calls `handler` once when the attempt ends, but not if it is dropped or
+  // abandoned first. Never calls it from within Send(). `service` must outlive
+  // the attempt.
   void Send(ServiceTraffic& service,
             const routing::ServerCandidate& server,
             const wire::PeerRequestHead& head,
@@ -74,7 +75,7 @@
   };
 
   void Transmit(InFlight& sent, PendingRequest pending);
-  // Sends only the head, to find out whether the gate has capacity.
+  // Sends only the head, to query whether the gate has capacity.
   void InquireCapacity(InFlight& sent);
   void OnCapacityReply(const base::AttemptId& attempt,
                        net::TransferResult result);
--- a/src/libs/ingress/call_log.h
+++ b/src/libs/ingress/call_log.h
@@ -1,6 +1,6 @@
-// Logs how callers' requests ended, and the facts that led to it. An ordinary
-// success is not logged; any other end can be found by the request id that the
-// caller gave.
+// Logs how callers' requests ended, with the attempts that led to it. Ordinary
+// successes are not logged; any other end can be found by the caller's request
+// id.
 #ifndef INGRESS_CALL_LOG_H_
 #define INGRESS_CALL_LOG_H_
 
--- a/src/libs/ingress/caller_request.cc
+++ b/src/libs/ingress/caller_request.cc
@@ -13,7 +13,8 @@
 
 using base::ErrorKind;
 
-// Headers that callers may not set, or that are replaced.
+// Headers removed from callers' requests: only nodes may set them, or the node
+// replaces them.
 constexpr const char* kNodeOnlyHeaders[] = {
     wire::kAttemptHeader,     wire::kTargetHeader,        wire::kServiceHeader,
     wire::kSignatureHeader,   wire::kLoadHeader,          wire::kDeadlineHeader,
@@ -47,11 +48,11 @@
 std::optional<base::Duration> ReadRemaining(
     const net::HttpHeaders& headers,
     const declarations::ServiceDeclaration& declaration) {
-  const std::string_view asked =
+  const std::string_view caller_deadline =
       net::FindHeader(headers, wire::kDeadlineHeader);
-  if (asked.empty())
+  if (caller_deadline.empty())
     return declaration.deadline;
-  const auto parsed = base::ParseDuration(asked);
+  const auto parsed = base::ParseDuration(caller_deadline);
   if (!parsed || parsed->count() == 0)
     return std::nullopt;
   return std::min(*parsed, declaration.longest_deadline);
--- a/src/libs/ingress/ingress.cc
+++ b/src/libs/ingress/ingress.cc
@@ -10,9 +10,10 @@
 namespace chestnutport::ingress {
 namespace {
 
-// Retry budget of the node over all services, whatever each one declares.
+// Retry budget of the node over all services, regardless of their declarations.
 constexpr double kNodeRetryShare = 0.2;
 constexpr double kNodeRetryBurst = 50;
+// Time by which the idle time-out of connections exceeds the declared one.
 constexpr std::chrono::seconds kIdleSlack(2);
 
 base::RequestFingerprint FingerprintOf(const CallerRequest& request) {
@@ -174,9 +175,11 @@
     return found == service->classes.end() ? std::nullopt
                                            : std::optional(found->urgency);
   };
-  const auto own = urgency_of(call.traffic_class);
-  const auto of_above = urgency_of(above);
-  return own && of_above && *of_above > *own ? above : call.traffic_class;
+  const auto own_urgency = urgency_of(call.traffic_class);
+  const auto enclosing_urgency = urgency_of(above);
+  return own_urgency && enclosing_urgency && *enclosing_urgency > *own_urgency
+             ? above
+             : call.traffic_class;
 }
 
 void Ingress::RunSteps(CallId id, calls::NextSteps steps) {
@@ -243,7 +246,7 @@
 
 void Ingress::SetTimer(ActiveCall& call) {
   const base::Instant next = call.call_state.next_timer();
-  // A timer that fires too early is cheaper than resetting it each time.
+  // A timer that fires too early costs less than resetting it for each step.
   if (call.timer != 0 && call.timer_at <= next)
     return;
   loop_.Cancel(call.timer);
--- a/src/libs/ingress/ingress.h
+++ b/src/libs/ingress/ingress.h
@@ -68,8 +68,8 @@
   // Whether there is a configuration and a server of each service.
   bool IsReady() const;
   void OnRequest(net::HttpRequest request, net::Reply reply);
-  // Returns the class of a nested call, which is never more urgent than the
-  // class `above` of its enclosing request.
+  // Returns the class of a nested call: its own, or the class `above` of its
+  // enclosing request if that is less urgent.
   std::string EffectiveClass(const CallerRequest& call,
                              const std::string& above) const;
   // Returns the remaining quarantine of the request, or nullopt if it may be
@@ -103,10 +103,10 @@
   // Whether the request is suspected of crashing servers, according to the
   // verdicts or because two servers crashed during this call's attempts.
   bool IsSuspect(const ActiveCall& call) const;
-  // Returns the one untried server that runs this suspect request, or the owner
-  // of its key. Returns null if there is none, if an attempt is in flight, or
-  // if a server crashed during a suspect attempt: a suspect request may crash
-  // at most one server per call.
+  // Returns the server for a suspect request: the one that its fingerprint
+  // selects among the untried servers, or the owner of its key. Returns null if
+  // there is none, if an attempt is in flight, or if a server crashed during a
+  // suspect attempt: a suspect request may crash at most one server per call.
   const routing::ServerCandidate* ChooseForSuspect(const ActiveCall& call);
   // Chooses a server for a request that is not suspect. Returns null if there
   // is none.
@@ -116,7 +116,8 @@
   wire::PeerRequestHead MakeAttemptHead(const ActiveCall& call,
                                         int attempt,
                                         base::Instant now) const;
-  // Returns false if there was no server to send to.
+  // Chooses a server and sends the attempt. Returns false if there is no
+  // server.
   bool SendAttempt(ActiveCall& call, int attempt);
   // Sends the attempt unless the request is quarantined. Returns the next steps
   // if it was not sent.
@@ -124,8 +125,8 @@
   void SendCommand(const ActiveCall& call, int attempt, bool cancel);
   void Abandon(const ActiveCall& call, int attempt);
   void SetTimer(ActiveCall& call);
-  // Passes an event to the call, if it still exists, and
-  // runs the resulting steps.
+  // Passes an event to the call, if it still exists, and runs the resulting
+  // steps.
   template <typename Event>
   void UpdateCall(CallId id, Event event) {
     const auto found = calls_.find(id);
--- a/src/libs/ingress/ingress_answers.cc
+++ b/src/libs/ingress/ingress_answers.cc
@@ -46,7 +46,7 @@
 std::optional<base::Duration> Ingress::RemainingQuarantine(
     const CallerRequest& request) const {
   const quarantine::VerdictUntil verdict = verdicts_->Of(request.fingerprint);
-  // Requests with an idempotency key are left to the key's owner.
+  // The gate of the key's owner checks requests with an idempotency key.
   const bool has_key = !request.idempotency_key.empty();
   if (has_key || verdict.verdict != quarantine::Verdict::kQuarantined)
     return std::nullopt;
@@ -88,10 +88,11 @@
   Record(call, error, {});
   base::Duration retry_after = step.retry_after;
   // A quarantine lasts longer than any deadline, so its full duration is
-  // reported.
-  const bool is_held = error == base::ErrorKind::kRequestQuarantined ||
-                       error == base::ErrorKind::kRequestStopped;
-  if (protocol_.supports_subsecond_retry_delay && !is_held) {
+  // reported instead of a delay within the deadline.
+  const bool is_due_to_quarantine =
+      error == base::ErrorKind::kRequestQuarantined ||
+      error == base::ErrorKind::kRequestStopped;
+  if (protocol_.supports_subsecond_retry_delay && !is_due_to_quarantine) {
     retry_after = calls::RetryDelay(
         retry_after, call.call_state.deadline() - loop_.now(), random_);
   }
--- a/src/libs/ingress/ingress_attempts.cc
+++ b/src/libs/ingress/ingress_attempts.cc
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kCommandTimeout(500);
-// Also used at the deadline, when a reply may still arrive in time.
+// Lower bound near the deadline, when a reply may still arrive in time.
 constexpr std::chrono::milliseconds kMinCommandTimeout(1);
 
 wire::PeerRequestHead MakeHead(const CallerRequest& request) {
@@ -34,7 +34,8 @@
   return head;
 }
 
-// Adds the level that retries, for the levels below, and the attempt number.
+// Adds the depth of the call that retries, for the calls nested in it, and the
+// attempt number.
 void AddRetryHeaders(const CallerRequest& request,
                      int attempt,
                      net::HttpHeaders& headers) {
@@ -120,7 +121,8 @@
   const auto* server = ChooseServer(call, now);
   if (server || call.returned_by.empty())
     return server;
-  // All other servers were tried: choose the best of those that returned it.
+  // All other servers were tried, so the best of those that returned it is
+  // chosen.
   ReadmitReturnedNodes(call);
   return ChooseServer(call, now);
 }
@@ -199,13 +201,13 @@
       cancel ? AttemptCommand::kCancel : AttemptCommand::kQueryStatus, timeout,
       [this, id = call.id, attempt, cancel,
        command_sent_at](calls::AttemptStatus answer) {
-        UpdateCall(id, [&](ActiveCall& asked) {
+        UpdateCall(id, [&](ActiveCall& updated) {
           if (answer != calls::AttemptStatus::kNoAnswer) {
-            asked.service->timing().OnStatusReply(loop_.now() - command_sent_at,
-                                                  loop_.now());
+            updated.service->timing().OnStatusReply(
+                loop_.now() - command_sent_at, loop_.now());
           }
-          return asked.call_state.OnStatusReply(attempt, answer, cancel,
-                                                loop_.now());
+          return updated.call_state.OnStatusReply(attempt, answer, cancel,
+                                                  loop_.now());
         });
       });
 }
--- a/src/libs/ingress/service_traffic.cc
+++ b/src/libs/ingress/service_traffic.cc
@@ -47,8 +47,8 @@
   policy.is_retried_above = request.retry_level.has_value();
   policy.is_pinned_to_server = !request.idempotency_key.empty();
   timing_.Apply(hedge_budget_, policy);
-  // Leaves half of the target to the hedge. The latency quantile would be too
-  // late if the work varies more than the target allows.
+  // Leaves half of the target to the hedge. A hedge at the latency quantile
+  // would start too late if service times vary by more than the target allows.
   if (hedge_budget_ > 0 && request.target_latency > base::Duration::zero())
     policy.hedge_delay = request.target_latency / kHedgeDivisor;
   policy.max_servers = request.max_servers;
