--- a/src/libs/keys/key_ownership.cc
+++ b/src/libs/keys/key_ownership.cc
@@ -41,13 +41,13 @@
   as_of_ = as_of;
   if (views_.empty() || views_.back().nodes != nodes)
     views_.push_back({as_of, std::move(nodes)});
-  // The oldest stored view began before the reuse window.
+  // Keeps one view that began before the reuse window and the settling time.
   const Instant oldest = as_of - options_.reuse_window - options_.settling_time;
   while (views_.size() > 1 && views_[1].started_at <= oldest)
     views_.pop_front();
   has_majority_ = HasMajority();
-  // In the meantime another node may have owned the keys, whatever the views of
-  // this node show.
+  // While the view was invalid, another node may have owned the keys, even if
+  // the views of this node do not show it.
   if (!was_valid)
     valid_since_ = as_of;
 }
@@ -65,10 +65,10 @@
   if (key_age && *key_age >= options_.reuse_window)
     return {OwnershipStatus::kUncertain};
   const Instant first_use = now - key_age.value_or(options_.reuse_window);
-  const bool is_younger =
+  const bool is_first_used_here =
       first_use - (key_age ? options_.max_transit : Duration::zero()) >=
       runs_from;
-  if (is_younger)
+  if (is_first_used_here)
     return {OwnershipStatus::kMayRun};
   return {OwnershipStatus::kUncertain, runs_from + options_.reuse_window - now};
 }
@@ -85,12 +85,12 @@
     for (const OwnerNode& node : view.nodes)
       last_seen[node.id.value] = node.state;
   }
-  const auto left = std::ranges::count_if(last_seen, [](const auto& entry) {
+  const auto draining = std::ranges::count_if(last_seen, [](const auto& entry) {
     return entry.second == OwnerState::kDraining;
   });
-  const auto present = std::ranges::count(
+  const auto serving = std::ranges::count(
       views_.back().nodes, OwnerState::kServing, &OwnerNode::state);
-  return 2 * present > static_cast<long>(last_seen.size()) - left;
+  return 2 * serving > static_cast<long>(last_seen.size()) - draining;
 }
 
 Instant KeyOwnership::OwnedSince(uint64_t key_hash) const {
--- a/src/libs/keys/key_ownership.h
+++ b/src/libs/keys/key_ownership.h
@@ -1,10 +1,10 @@
 // Determines which node of a service owns an idempotency key, and so is the
 // only one to run requests with it. Views of the fleet and times are passed in.
 //
-// Nodes do not coordinate. Timing prevents two nodes from running the same key:
-// a node uses a view of the fleet only for `view_validity`, a new owner waits
-// for the longer `settling_time`, and it runs only keys that are known to be
-// younger than its ownership.
+// Nodes do not coordinate. Timing prevents two nodes from running requests with
+// the same key: a node uses a view of the fleet only for `view_validity`, a new
+// owner waits for the longer `settling_time`, and it then accepts only keys
+// that were first used after that wait.
 #ifndef KEYS_KEY_OWNERSHIP_H_
 #define KEYS_KEY_OWNERSHIP_H_
 
@@ -36,9 +36,9 @@
 struct OwnershipOptions {
   // Time for which a view may be used.
   base::Duration view_validity = std::chrono::seconds(3);
-  // Time for which a new owner runs nothing. By then all earlier views have
+  // Time for which a new owner runs nothing. At its end all earlier views have
   // expired, provided that membership updates propagate within the difference
-  // to `view_validity`.
+  // between this time and `view_validity`.
   base::Duration settling_time = std::chrono::seconds(5);
   // Time after the first use of a key in which a caller may send it again.
   base::Duration reuse_window = std::chrono::minutes(2);
@@ -48,7 +48,8 @@
 
 enum class OwnershipStatus {
   kMayRun,     // Owns the key, and would have a record of any earlier use.
-  kUncertain,  // Owns the key, but a previous owner may have run it.
+  kUncertain,  // Owns the key, but a previous owner may have run a
+               // request with it.
   kSettling,   // Became the owner too recently to run anything.
   kNotOwner,
   kNoValidView,  // Isolated, paused, or in a minority partition.
@@ -94,7 +95,8 @@
 
   base::NodeId self_;
   OwnershipOptions options_;
-  std::deque<View> views_;  // Newest last; covers the reuse window.
+  std::deque<View>
+      views_;  // Newest last. Covers the reuse window and the settling time.
   base::Instant as_of_;
   base::Instant valid_since_;  // Without interruption.
   bool has_majority_ = false;
--- a/src/libs/keys/key_record_store.h
+++ b/src/libs/keys/key_record_store.h
@@ -57,8 +57,8 @@
   void OnNotRun(const KeyScope& scope);
   void OnUncertain(const KeyScope& scope, base::Instant now);
 
-  // Removes records older than the retention time. Takes time proportional to
-  // the number removed.
+  // Removes records older than the retention time. The cost is linear in the
+  // number removed.
   void Expire(base::Instant now);
 
   size_t records() const { return records_.size(); }
