--- a/tests/auto/admission/admission_property_test.cc
+++ b/tests/auto/admission/admission_property_test.cc
@@ -186,14 +186,14 @@
 struct RunsAttemptTwice : AdmissionController {
   using AdmissionController::AdmissionController;
   AdmissionActions Arrive(Arrival arrival, Instant now) {
-    const AttemptId said = arrival.attempt;
-    arrival.attempt.origin = ++lives;
+    const AttemptId original_id = arrival.attempt;
+    arrival.attempt.origin = ++last_origin;
     auto actions = AdmissionController::Arrive(arrival, now);
     for (auto& action : actions)
-      action.attempt = said;
+      action.attempt = original_id;
     return actions;
   }
-  uint64_t lives = 1;
+  uint64_t last_origin = 1;
 };
 
 struct CancelsWithoutRecord : AdmissionController {
--- a/tests/auto/admission/admission_story_test.cc
+++ b/tests/auto/admission/admission_story_test.cc
@@ -74,10 +74,10 @@
     }
 
     SECTION("and evicts a request of the busy tenant for another tenant") {
-      const auto pushed_out = arrive(seconds(9), "quiet");
-      REQUIRE(pushed_out.size() == 1);
-      CHECK(pushed_out[0].error == ErrorKind::kOverloaded);
-      CHECK(pushed_out[0].attempt == AttemptId{1, 14});
+      const auto evicted = arrive(seconds(9), "quiet");
+      REQUIRE(evicted.size() == 1);
+      CHECK(evicted[0].error == ErrorKind::kOverloaded);
+      CHECK(evicted[0].attempt == AttemptId{1, 14});
       CHECK(admission.State({1, 15}) == AttemptState::kQueued);
     }
 
@@ -101,7 +101,7 @@
 
 TEST_CASE("a node that was paused sends nothing late") {
   AdmissionController admission({});
-  PauseDetector watch(kStart);
+  PauseDetector detector(kStart);
   const AttemptId id{1, 1};
 
   SECTION("between the decision and the sending") {
@@ -114,16 +114,16 @@
   }
 
   SECTION("while a request waited unread") {
-    watch.Update(kStart + milliseconds(10));
-    CHECK(watch.UnobservedDelay(kStart + milliseconds(10)) ==
+    detector.Update(kStart + milliseconds(10));
+    CHECK(detector.UnobservedDelay(kStart + milliseconds(10)) ==
           base::Duration::zero());
     const Instant resumed = kStart + seconds(5);
-    watch.Update(resumed);
+    detector.Update(resumed);
     const Instant deadline =
-        resumed + seconds(2) - watch.UnobservedDelay(resumed);
+        resumed + seconds(2) - detector.UnobservedDelay(resumed);
     CHECK(admission.Arrive({id, "", "", deadline}, resumed).at(0).error ==
           ErrorKind::kDeadlineTooClose);
-    CHECK(watch.UnobservedDelay(resumed + seconds(2)) ==
+    CHECK(detector.UnobservedDelay(resumed + seconds(2)) ==
           base::Duration::zero());
   }
 }
--- a/tests/auto/admission/body_placement_test.cc
+++ b/tests/auto/admission/body_placement_test.cc
@@ -5,10 +5,10 @@
 //
 // The load exceeds the capacity by a sixth: 16 servers with four slots each, on
 // VMs with links of 12 Mbit/s, get uploads of 60 kB and lookups that other
-// servers wait for. A quarter of the VMs is slow at any time and takes nothing
-// that can be served elsewhere; the slots of the others are in use, so that
-// about half of the requests are returned. Time is virtual and the random
-// numbers are seeded.
+// servers wait for. A quarter of the VMs is slow at any time, and their gates
+// return all requests that can be served elsewhere; the slots of the others are
+// in use, so that about half of the requests are returned. Time is virtual and
+// the random numbers are seeded.
 #include <catch2/catch.hpp>
 #include <functional>
 #include <map>
@@ -78,7 +78,8 @@
       now_ = event.key();
       event.mapped()();
     }
-    return {Share(kUpload), Share(kLookup), carried_ / requested_[&kUpload]};
+    return {Share(kUpload), Share(kLookup),
+            upload_bytes_ / requested_[&kUpload]};
   }
 
  private:
@@ -152,15 +153,15 @@
     gate.link_free_at = std::max(gate.link_free_at, now_) +
                         std::chrono::duration_cast<Duration>(time);
     if (request.kind == &kUpload)
-      carried_ += request.kind->bytes;
+      upload_bytes_ += request.kind->bytes;
     After(gate.link_free_at - now_ + kHop,
           [this, index, request] { Arrive(index, request); });
   }
 
   void Arrive(size_t index, const Request& request) {
     Gate& gate = gates_[index];
-    const bool was_asked = inquires_ && request.kind == &kUpload;
-    if (!was_asked && ShouldMoveElsewhere(index, request)) {
+    const bool was_inquired = inquires_ && request.kind == &kUpload;
+    if (!was_inquired && ShouldMoveElsewhere(index, request)) {
       After(kHop, [this, request] { MoveElsewhere(request); });
       return;
     }
@@ -198,7 +199,7 @@
   std::multimap<Instant, std::function<void()>> events_;
   std::map<const RequestKind*, double> requested_;
   std::map<const RequestKind*, double> in_time_;
-  double carried_ = 0;
+  double upload_bytes_ = 0;
 };
 
 // Returns the mean over several seeds.
--- a/tests/auto/admission/cold_fleet_test.cc
+++ b/tests/auto/admission/cold_fleet_test.cc
@@ -66,8 +66,8 @@
   int moves_ = 0;
 };
 
-// A missing report treated as a good one gives 0.12 moves per request.
-// Otherwise it is 0.015: the first request of each node.
+// If a missing report is treated as a good one, there are 0.12 moves per
+// request. Otherwise there are 0.015, from the first request of each node.
 TEST_CASE(
     "after a start of all servers requests are not moved in search of a warm "
     "one") {
--- a/tests/auto/admission/cold_limit_test.cc
+++ b/tests/auto/admission/cold_limit_test.cc
@@ -208,7 +208,7 @@
   std::map<std::string, Counts> counts;
   std::map<uint64_t, std::string> class_of;
   std::deque<std::pair<Instant, base::AttemptId>> running;
-  const auto take = [&](const AdmissionActions& actions, Instant now) {
+  const auto apply = [&](const AdmissionActions& actions, Instant now) {
     for (const AdmissionAction& action : actions) {
       if (action.kind != ActionKind::kStart)
         continue;
@@ -221,9 +221,9 @@
     while (!running.empty() && running.front().first <= now) {
       const auto ended = running.front();
       running.pop_front();
-      take(admission.Finish(ended.second, now), now);
+      apply(admission.Finish(ended.second, now), now);
     }
-    take(admission.Tick(now), now);
+    apply(admission.Tick(now), now);
     if (++last % 2 != 0)
       continue;
     const char* name = last % 10 == 0  ? "urgent"
@@ -233,14 +233,15 @@
     ++counts[name].requested;
     const Arrival arrival{
         {1, last}, "", name, now + seconds(1), now + milliseconds(200)};
-    take(admission.Arrive(arrival, now), now);
+    apply(admission.Arrive(arrival, now), now);
   }
   INFO("usual " << counts["usual"].started << " of "
                 << counts["usual"].requested << ", other "
                 << counts["other"].started << " of "
                 << counts["other"].requested);
   CHECK(counts["urgent"].started == counts["urgent"].requested);
-  // Of about 80 starts, the urgent requests leave 50; 60 are requested.
+  // Of about 80 starts, 50 are left after the urgent requests, for 60 usual
+  // ones.
   CHECK(counts["usual"].started * 3 >= counts["usual"].requested * 2);
   CHECK(counts["other"].started * 4 <= counts["usual"].started);
 }
--- a/tests/auto/admission/gate_quarantine_test.cc
+++ b/tests/auto/admission/gate_quarantine_test.cc
@@ -14,13 +14,13 @@
 using std::chrono::milliseconds;
 using std::chrono::minutes;
 
-constexpr RequestFingerprint kHeld{1};
+constexpr RequestFingerprint kQuarantinedRequest{1};
 constexpr RequestFingerprint kSuspect{2};
 constexpr RequestFingerprint kOther{3};
 
 quarantine::Verdicts SomeVerdicts() {
   quarantine::Verdicts verdicts;
-  verdicts.Set(kHeld,
+  verdicts.Set(kQuarantinedRequest,
                {Verdict::kQuarantined, base::Clock::now() + minutes(10)});
   verdicts.Set(kSuspect, {Verdict::kSuspected, {}});
   return verdicts;
@@ -109,11 +109,12 @@
 
   SECTION("refuses quarantined requests and capacity inquiries for them") {
     fixture.SetVerdicts(SomeVerdicts());
-    fixture.BeginGuarded({kHeld});
+    fixture.BeginGuarded({kQuarantinedRequest});
     REQUIRE(fixture.RunUntil([&] { return fixture.results.contains(1); }));
     CHECK(Error(fixture.results[1]) == "request-quarantined");
     CHECK(Outcome(fixture.results[1]) == "not-run");
-    CHECK(Error(fixture.InquireCapacity({kHeld})) == "request-quarantined");
+    CHECK(Error(fixture.InquireCapacity({kQuarantinedRequest})) ==
+          "request-quarantined");
     CHECK(fixture.served.empty());
     CHECK(fixture.InquireCapacity({kOther}).answer.status ==
           traffic::kCapacityAvailable);
@@ -121,12 +122,12 @@
 
   SECTION("answers a known key from its record and runs no new request") {
     fixture.AcquireKeyOwnership();
-    const auto first = fixture.BeginKeyed({kHeld}, "k");
+    const auto first = fixture.BeginKeyed({kQuarantinedRequest}, "k");
     REQUIRE(fixture.RunUntil([&] { return fixture.results.size() == 1; }));
     REQUIRE(Outcome(fixture.results[first.sequence]) == "answered");
     fixture.SetVerdicts(SomeVerdicts());
-    const auto again = fixture.BeginKeyed({kHeld}, "k");
-    const auto other = fixture.BeginKeyed({kHeld}, "another");
+    const auto again = fixture.BeginKeyed({kQuarantinedRequest}, "k");
+    const auto other = fixture.BeginKeyed({kQuarantinedRequest}, "another");
     REQUIRE(fixture.RunUntil([&] { return fixture.results.size() == 3; }));
     CHECK(Outcome(fixture.results[again.sequence]) == "answered");
     const net::TransferResult& refused = fixture.results[other.sequence];
@@ -164,9 +165,9 @@
     fixture.state.admission.slots = 1;
     fixture.Apply();
     fixture.is_silent = true;
-    const auto running = fixture.BeginGuarded({kHeld});
+    const auto running = fixture.BeginGuarded({kQuarantinedRequest});
     REQUIRE(fixture.RunUntil([&] { return fixture.served.size() == 1; }));
-    const auto waiting = fixture.BeginGuarded({kHeld});
+    const auto waiting = fixture.BeginGuarded({kQuarantinedRequest});
     REQUIRE(fixture.RunUntil(
         [&] { return fixture.Settle(waiting, false) == "queued"; }));
     fixture.SetVerdicts(SomeVerdicts());
--- a/tests/auto/admission/gate_test.cc
+++ b/tests/auto/admission/gate_test.cc
@@ -74,21 +74,21 @@
 
   SECTION("a failure of the server itself, or of a call that it made") {
     fixture.answer.status = 500;
-    const bool is_calls_fault = GENERATE(false, true);
+    const bool is_nested_call_failure = GENERATE(false, true);
     fixture.on_request = [&] {
-      if (is_calls_fault)
+      if (is_nested_call_failure)
         fixture.running.OnCallFailed(fixture.served.size() == 1 ? "r1.1"
                                                                 : "r2.1");
     };
     const auto result = fixture.Run("POST");
     CHECK(result.answer.status == 500);
     CHECK(FindHeader(result.answer.headers, wire::kCallFailedHeader).empty() !=
-          is_calls_fault);
+          is_nested_call_failure);
     const auto next = fixture.Run("POST");
     const auto load = wire::LoadReport::FromHeader(
         FindHeader(next.answer.headers, wire::kLoadHeader));
     REQUIRE(load);
-    CHECK((load->strain > 1.1) != is_calls_fault);
+    CHECK((load->strain > 1.1) != is_nested_call_failure);
   }
 
   SECTION("a 503 marked as not run is a refusal") {
@@ -248,12 +248,12 @@
   CHECK(fixture.report.probe_time <= milliseconds(50));
 
   SECTION("and never without a budget") {
-    GateFixture frugal;
-    frugal.state.health_path = "/health";
-    frugal.state.probes.budget = 0;
-    frugal.Apply();
-    CHECK(Outcome(frugal.Run("GET")) == "answered");
-    CHECK(frugal.served.size() == 1);
+    GateFixture unbudgeted;
+    unbudgeted.state.health_path = "/health";
+    unbudgeted.state.probes.budget = 0;
+    unbudgeted.Apply();
+    CHECK(Outcome(unbudgeted.Run("GET")) == "answered");
+    CHECK(unbudgeted.served.size() == 1);
   }
 }
 
--- a/tests/auto/admission/nested_call_test.cc
+++ b/tests/auto/admission/nested_call_test.cc
@@ -2,10 +2,10 @@
 // at another service. Simulates the gates of that service with the admission
 // decisions of the product.
 //
-// For some seconds the called service gets a tenth more than its capacity.
-// Three quarters of it are calls of 30 ms with a target of 120 ms, made by
-// requests of 500 ms that have done half of their work. Time is virtual and the
-// random numbers are seeded.
+// For 20 s the called service gets a tenth more load than its capacity. Three
+// quarters of the load are calls of 30 ms with a target of 120 ms, made by
+// requests with a target of 500 ms that have done half of their work, 60 ms of
+// 120 ms. Time is virtual and the random numbers are seeded.
 #include <catch2/catch.hpp>
 #include <functional>
 #include <map>
--- a/tests/auto/admission/pace_placement_test.cc
+++ b/tests/auto/admission/pace_placement_test.cc
@@ -54,7 +54,7 @@
 
  public:
   ProbeScheduler probes;
-  ServerPerformance pace;
+  ServerPerformance performance;
 };
 
 struct Strategy {
@@ -99,7 +99,7 @@
 
   static void EndProbe(Server& server, Instant now) {
     server.probes.End(kProbeTime, true, now);
-    server.pace.OnSlowness(server.Slowness(now), now);
+    server.performance.OnSlowness(server.Slowness(now), now);
   }
 
   // Returns the slowness of the server on which the request is started.
@@ -109,8 +109,8 @@
           0, kServers - 1)(random_)];
       if (server.probes.IsStale(now) && server.probes.StartOnDemand(now))
         EndProbe(server, now);
-      const bool is_poor = server.pace.IsDegraded(now, usual_.usual());
-      usual_.OnReport(server.pace.Slowness(now));
+      const bool is_poor = server.performance.IsDegraded(now, usual_.usual());
+      usual_.OnReport(server.performance.Slowness(now));
       if (move >= strategy_.max_moves || !is_poor) {
         moves_ += move;
         return server.Slowness(now);
@@ -137,11 +137,11 @@
     SECTION("on-demand probes and more moves: hardly any, with fewer probes") {
       const Strategy strategy{{0.2, milliseconds(250), milliseconds(15)},
                               calls::kDefaultMoveLimits.if_degraded};
-      const Outcome looked = Fleet(strategy).Run();
-      CHECK(looked.started_on_slow < 0.01);
-      CHECK(looked.started_on_slow < steady.started_on_slow / 5);
-      CHECK(looked.moves < 1);
-      CHECK(looked.probes < 2);
+      const Outcome on_demand = Fleet(strategy).Run();
+      CHECK(on_demand.started_on_slow < 0.01);
+      CHECK(on_demand.started_on_slow < steady.started_on_slow / 5);
+      CHECK(on_demand.moves < 1);
+      CHECK(on_demand.probes < 2);
     }
   }
 }
--- a/tests/auto/admission/server_watch_test.cc
+++ b/tests/auto/admission/server_watch_test.cc
@@ -20,26 +20,26 @@
 constexpr Instant kStart{std::chrono::hours(1)};
 
 TEST_CASE("a server is alive while it announces itself") {
-  ServerLiveness presence;
-  CHECK_FALSE(presence.IsAlive(kStart));
+  ServerLiveness liveness;
+  CHECK_FALSE(liveness.IsAlive(kStart));
   for (int i = 0; i < 20; ++i)
-    presence.OnAnnounced(kStart + i * seconds(1));
+    liveness.OnAnnounced(kStart + i * seconds(1));
   const Instant last = kStart + seconds(19);
-  CHECK(presence.IsAlive(last + milliseconds(3400)));
+  CHECK(liveness.IsAlive(last + milliseconds(3400)));
 
   SECTION("and not after three missing announcements") {
-    CHECK_FALSE(presence.IsAlive(last + milliseconds(3600)));
+    CHECK_FALSE(liveness.IsAlive(last + milliseconds(3600)));
   }
 
   SECTION("unless it still answers requests") {
-    presence.OnAnswer(last + seconds(3));
-    CHECK(presence.IsAlive(last + seconds(6)));
-    CHECK_FALSE(presence.IsAlive(last + seconds(7)));
+    liveness.OnAnswer(last + seconds(3));
+    CHECK(liveness.IsAlive(last + seconds(6)));
+    CHECK_FALSE(liveness.IsAlive(last + seconds(7)));
   }
 
   SECTION("and not once it announced that it leaves") {
-    presence.OnLeft();
-    CHECK_FALSE(presence.IsAlive(last));
+    liveness.OnLeft();
+    CHECK_FALSE(liveness.IsAlive(last));
   }
 }
 
@@ -65,40 +65,40 @@
   probes.OnAnswer(kStart);
   CHECK_FALSE(probes.IsStale(kStart + milliseconds(14)));
   CHECK(probes.IsStale(kStart + milliseconds(15)));
-  const Instant looked = kStart + milliseconds(20);
-  REQUIRE(probes.StartOnDemand(looked));
+  const Instant probed_at = kStart + milliseconds(20);
+  REQUIRE(probes.StartOnDemand(probed_at));
   CHECK(probes.IsRunning());
-  CHECK_FALSE(probes.StartOnDemand(looked));  // One at a time.
+  CHECK_FALSE(probes.StartOnDemand(probed_at));  // One at a time.
 
   SECTION("whose answer is valid for a short time") {
-    probes.End(milliseconds(1), true, looked);
-    CHECK_FALSE(probes.IsStale(looked + milliseconds(14)));
+    probes.End(milliseconds(1), true, probed_at);
+    CHECK_FALSE(probes.IsStale(probed_at + milliseconds(14)));
   }
   SECTION("but not repeatedly for a server that does not answer") {
-    probes.End(milliseconds(20), false, looked);
-    CHECK_FALSE(probes.IsStale(looked + milliseconds(100)));
-    CHECK(probes.IsStale(looked + milliseconds(200)));
+    probes.End(milliseconds(20), false, probed_at);
+    CHECK_FALSE(probes.IsStale(probed_at + milliseconds(100)));
+    CHECK(probes.IsStale(probed_at + milliseconds(200)));
   }
   SECTION("and not beyond the budget") {
-    probes.End(milliseconds(1), true, looked);
+    probes.End(milliseconds(1), true, probed_at);
     probes.set_options({0, milliseconds(250), milliseconds(15)});
-    CHECK_FALSE(probes.StartOnDemand(looked + milliseconds(50)));
+    CHECK_FALSE(probes.StartOnDemand(probed_at + milliseconds(50)));
   }
   SECTION("and not if it is not declared") {
     probes.set_options({0.2, milliseconds(250)});
-    CHECK_FALSE(probes.IsStale(looked + seconds(5)));
+    CHECK_FALSE(probes.IsStale(probed_at + seconds(5)));
   }
 }
 
 TEST_CASE("a node in a restart loop keeps the budget") {
   Duration spent{};
-  for (int life = 0; life < 50; ++life) {
-    const Instant began = kStart + life * seconds(3);
+  for (int incarnation = 0; incarnation < 50; ++incarnation) {
+    const Instant began = kStart + incarnation * seconds(3);
     ProbeScheduler probes({0.005, seconds(2)}, began);
     for (Instant now = began; now < began + seconds(3);
          now += milliseconds(10)) {
-      if (const auto allowed = probes.StartIfDue(now))
-        probes.End(*allowed, false, now);
+      if (const auto time_limit = probes.StartIfDue(now))
+        probes.End(*time_limit, false, now);
     }
     spent += probes.spent();
   }
@@ -123,10 +123,10 @@
   Duration worst{};
   for (const auto& [pause_ms, share] : steps) {
     now += milliseconds(pause_ms);
-    const auto allowed = probes.StartIfDue(now);
-    if (!allowed)
+    const auto time_limit = probes.StartIfDue(now);
+    if (!time_limit)
       continue;
-    const Duration cost = *allowed * share / 100;
+    const Duration cost = *time_limit * share / 100;
     probes.End(cost, share < 50, now + cost);
     spent.emplace_back(now, cost);
     while (spent.front().first + kProbeBudgetWindow <= now)
--- a/tests/auto/admission/straggling_server_test.cc
+++ b/tests/auto/admission/straggling_server_test.cc
@@ -29,7 +29,7 @@
   int answered = 0;
   // Started with less time left than the work takes.
   int started_too_late = 0;
-  // Started with less time left than 90% of the work takes.
+  // Started with less time left than 90% of what the work takes.
   int started_far_too_late = 0;
   int refused = 0;
 };
@@ -137,9 +137,9 @@
     CHECK(counts.answered >= 0.95 * capacity);
   }
   SECTION("and serves all requests again once it recovers") {
-    const Counts well = simulation.Run(kNormalWork, 0.5, 1000);
-    CHECK(well.refused <= 5);
-    CHECK(well.answered >= 995);
+    const Counts recovered = simulation.Run(kNormalWork, 0.5, 1000);
+    CHECK(recovered.refused <= 5);
+    CHECK(recovered.answered >= 995);
   }
 }
 
--- a/tests/auto/admission/target_admission_test.cc
+++ b/tests/auto/admission/target_admission_test.cc
@@ -185,12 +185,12 @@
 
 // All VMs have lost power: the server is cold, so its work takes nearly as long
 // as its target, and its gate has seen no answer yet. When an unknown wait
-// counted as none, 21 of 54 requests were in time and 7 were refused after up
-// to 202 ms; now it is 23 and none.
+// counted as zero, 21 of 54 requests were in time and 7 were refused after up
+// to 202 ms; now 23 are in time and none is refused after waiting.
 TEST_CASE("a gate that has just started has no estimate of the wait") {
   const RequestKind cold{"urgency-1", milliseconds(400), milliseconds(500), 1};
-  constexpr int kFirst = 6 * kSlots;
-  const Counts counts = Simulation(2, true, {cold}, kFirst).Run().front();
+  constexpr int kArrivals = 6 * kSlots;
+  const Counts counts = Simulation(2, true, {cold}, kArrivals).Run().front();
 
   SECTION("no request is queued in vain and then refused") {
     CHECK(counts.refused_late == 0);
