--- a/tests/auto/calls/call_figures_test.cc
+++ b/tests/auto/calls/call_figures_test.cc
@@ -83,13 +83,13 @@
   calls::Call call(policy, kStart, kStart + std::chrono::seconds(10),
                    budgets.All());
   call.Start(kStart);
-  const auto asked =
+  const auto query_delay =
       std::chrono::duration<double, std::milli>(call.next_timer() - kStart);
-  std::cout << "p99 " << slow_ms << " ms: asked after " << asked.count()
+  std::cout << "p99 " << slow_ms << " ms: asked after " << query_delay.count()
             << " ms\n";
-  CHECK(asked >= milliseconds(50));
-  CHECK(asked <= milliseconds(1000));
-  CHECK(asked.count() <= std::max(50.0, 4.4 * slow_ms));
+  CHECK(query_delay >= milliseconds(50));
+  CHECK(query_delay <= milliseconds(1000));
+  CHECK(query_delay.count() <= std::max(50.0, 4.4 * slow_ms));
 }
 
 }  // namespace
--- a/tests/auto/calls/call_simulation.cc
+++ b/tests/auto/calls/call_simulation.cc
@@ -27,7 +27,7 @@
   return std::make_unique<admission::AdmissionController>(options);
 }
 
-AttemptStatus ToAnswer(AttemptState state) {
+AttemptStatus ToStatus(AttemptState state) {
   switch (state) {
     case AttemptState::kNeverRuns:
       return AttemptStatus::kNeverRuns;
@@ -185,8 +185,9 @@
   switch (message.kind) {
     case MessageKind::kAttempt:
     case MessageKind::kStatusQuery:
-      // Messages to a frozen node stay in the link. A duplicate is of a message
-      // that was received, so it does not overtake the original.
+      // Messages to a frozen node stay in the link. A duplicate is a copy of a
+      // message that was already received, so it does not overtake the
+      // original.
       if (nodes_[message.node].is_frozen || OvertakesOriginal(message))
         link_.push_back(message);
       else if (message.kind == MessageKind::kAttempt)
@@ -200,13 +201,13 @@
       size_t to = message.call;
       if (defect_ == Defect::kAnswersMisrouted && link_.size() % 7 == 0)
         to = (to + 1) % requests_.size();
-      const bool is_taken = !requests_[to].call->IsOver();
+      const bool was_open = !requests_[to].call->IsOver();
       if (message.attempt >= requests_[to].call->attempts())
         return;
       RunSteps(to, requests_[to].call->OnAttemptEnd(message.attempt,
                                                     message.end, now_));
       is_misrouted_ |=
-          is_taken && to != message.call && requests_[to].call->IsOver();
+          was_open && to != message.call && requests_[to].call->IsOver();
       return;
     }
     case MessageKind::kStatusReply:
@@ -263,7 +264,7 @@
   } else {
     const AttemptState state = node.admission->Cancel(id, now_);
     answer.state = state == AttemptState::kQueued ? AttemptStatus::kNeverRuns
-                                                  : ToAnswer(state);
+                                                  : ToStatus(state);
   }
   link_.push_back(answer);
 }
@@ -277,11 +278,11 @@
       node.running.push_back(attempt);
       continue;
     }
-    const bool never =
+    const bool is_not_run =
         base::AnswerTo(action.error).outcome == base::Outcome::kNotRun;
     Message answer = attempt;
     answer.kind = MessageKind::kAttemptReply;
-    answer.end = {never ? AttemptVerdict::kRefused : AttemptVerdict::kLost,
+    answer.end = {is_not_run ? AttemptVerdict::kRefused : AttemptVerdict::kLost,
                   action.error};
     link_.push_back(answer);
   }
--- a/tests/auto/calls/call_test.cc
+++ b/tests/auto/calls/call_test.cc
@@ -79,20 +79,21 @@
   }
 
   SECTION("is cancelled shortly before its deadline") {
-    const base::Instant give_up = kDeadline - milliseconds(20);
-    CHECK(call.OnTimer(give_up - milliseconds(1)).size() <= 1);
-    REQUIRE(StepsAre(call.OnTimer(give_up), {Step::kCancel}));
+    const base::Instant cancel_at = kDeadline - milliseconds(20);
+    CHECK(call.OnTimer(cancel_at - milliseconds(1)).size() <= 1);
+    REQUIRE(StepsAre(call.OnTimer(cancel_at), {Step::kCancel}));
     CHECK(call.next_timer() == kDeadline);
 
     SECTION("and reported as not run if the cancellation is confirmed") {
       CHECK(OutcomeOf(call.OnStatusReply(0, AttemptStatus::kNeverRuns, true,
-                                         give_up)) == Outcome::kNotRun);
+                                         cancel_at)) == Outcome::kNotRun);
     }
     SECTION("and still gets the answer if it was running") {
-      CHECK(call.OnStatusReply(0, AttemptStatus::kRunning, true, give_up)
+      CHECK(call.OnStatusReply(0, AttemptStatus::kRunning, true, cancel_at)
                 .empty());
-      CHECK(StepsAre(call.OnAttemptEnd(0, {AttemptVerdict::kAnswered}, give_up),
-                     {Step::kRelayAnswer}));
+      CHECK(
+          StepsAre(call.OnAttemptEnd(0, {AttemptVerdict::kAnswered}, cancel_at),
+                   {Step::kRelayAnswer}));
     }
     SECTION("and has an unknown outcome at the deadline without a reply") {
       CHECK(OutcomeOf(call.OnTimer(kDeadline)) == Outcome::kUnknown);
--- a/tests/auto/calls/fleet_retries_test.cc
+++ b/tests/auto/calls/fleet_retries_test.cc
@@ -1,4 +1,4 @@
-// Tests that nodes keep the fleet-wide retry limit without coordination.
+// Tests that nodes stay within the fleet-wide retry limit without coordination.
 #include "calls/fleet_retry_limit.h"
 
 #include <catch2/catch.hpp>
--- a/tests/auto/calls/moved_call_test.cc
+++ b/tests/auto/calls/moved_call_test.cc
@@ -60,13 +60,13 @@
   }
   SECTION("with a limit of two, a second is tried if the budget allows it") {
     policy.max_servers = 2;
-    const bool may = GENERATE(true, false);
-    if (!may)
+    const bool has_budget = GENERATE(true, false);
+    if (!has_budget)
       budgets.service = calls::RetryBudget::Empty(0, 5);
     Call call(policy, kStart, kDeadline, budgets.All());
     call.Start(kStart);
     CHECK(StepsAre(call.OnAttemptEnd(0, kShedByServer, kStart),
-                   {may ? Step::kSend : Step::kAnswerError}));
+                   {has_budget ? Step::kSend : Step::kAnswerError}));
   }
 }
 
--- a/tests/auto/calls/return_time_test.cc
+++ b/tests/auto/calls/return_time_test.cc
@@ -27,13 +27,13 @@
 
 TEST_CASE("the delays of callers refused together are spread") {
   base::Random random(3);
-  std::set<int64_t> slots;  // Each 10 ms long.
+  std::set<int64_t> buckets;  // Each 10 ms long.
   for (int i = 0; i < 100; ++i) {
     const auto time =
         RetryDelay(std::chrono::seconds(1), std::chrono::seconds(1), random);
-    slots.insert(std::chrono::duration_cast<milliseconds>(time).count() / 10);
+    buckets.insert(std::chrono::duration_cast<milliseconds>(time).count() / 10);
   }
-  CHECK(slots.size() > 10);
+  CHECK(buckets.size() > 10);
 }
 
 TEST_CASE("the delay is zero after the deadline") {
