--- a/tests/auto/routing/decisions_rows_test.cc
+++ b/tests/auto/routing/decisions_rows_test.cc
@@ -14,8 +14,8 @@
 struct Row {
   const char* name;
   ConditionKind kind;
-  double most_to_omniscient;  // Of the p99.
-  double least_goodput;
+  double max_p99_ratio;  // Relative to the omniscient chooser.
+  double min_goodput;
 };
 
 constexpr Row kRows[] = {
@@ -35,9 +35,9 @@
       const auto omniscient =
           Simulation<OmniscientPolicy>(Consorcio(), condition, kSeed).Run();
       CHECK(shipped.wrong == 0);
-      CHECK(shipped.Goodput() >= row.least_goodput);
+      CHECK(shipped.Goodput() >= row.min_goodput);
       CHECK(shipped.Quantile(0.99) <=
-            row.most_to_omniscient * omniscient.Quantile(0.99));
+            row.max_p99_ratio * omniscient.Quantile(0.99));
     }
   }
 }
--- a/tests/auto/routing/server_chooser_test.cc
+++ b/tests/auto/routing/server_chooser_test.cc
@@ -218,7 +218,7 @@
 
 TEST_CASE("A cold server gets no more requests than its limit") {
   auto servers = Servers(4);
-  // Half of what a warm one serves at the usual latency, and less.
+  // At the usual latency of 10 ms, this rate keeps less than one slot in use.
   servers[0].cold_rate = 24;
   ChooserFixture fixture(servers);
   fixture.Serve(100, [](NodeId) { return Answered(); });
@@ -298,7 +298,8 @@
   return true;
 }
 
-// Each of `count` healthy servers is chosen within 100 choices a server.
+// Returns whether each of `count` healthy servers is chosen at least once in
+// 100 * `count` choices.
 template <typename Chooser>
 bool StarvesNoServer(int count, uint64_t seed) {
   Chooser chooser(LocalityIn("poa-a"));
