--- a/src/libs/admission/admission_controller.h
+++ b/src/libs/admission/admission_controller.h
@@ -30,7 +30,8 @@
   ColdStartOptions cold;        // Rate limit during the warm-up.
   TrafficShares shares;
   LedgerLimits ledger;  // Read at construction only.
-  // If false, the concurrency limit is always `slots`, whatever is measured.
+  // If false, the concurrency limit is always `slots`, regardless of service
+  // times.
   bool adaptive = true;
 };
 
@@ -122,15 +123,16 @@
   // share the server with long ones: they would be refused as late.
   base::Duration ExpectedServiceTime(FlowId flow) const;
   // Returns whether a queued attempt may start at `start`. An attempt that must
-  // not be interrupted needs enough time to finish by its deadline, judged by
-  // the recent service times of its flow; otherwise its caller would get an
-  // "unknown" outcome for work done in vain. Attempts that find capacity on
-  // arrival skip this check, so that the recovery of a slow server is noticed.
+  // not be interrupted needs enough time to finish by its deadline, according
+  // to the recent service times of its flow; otherwise its work would be wasted
+  // and its caller would get an "unknown" outcome. Attempts that find capacity
+  // on arrival skip this check, so that the recovery of a slow server is
+  // detected.
   bool CanMeetDeadline(const QueuedAttempt& attempt, base::Instant start) const;
   // Returns false until the server has answered as many requests as it has
-  // slots. The first answers are those of short requests; with an estimate from
-  // them, when all servers have just started, queued attempts are refused after
-  // hundreds of milliseconds in the queue.
+  // slots. The first answers are those of short requests. When all servers have
+  // just started, an estimate from these is too low: attempts would be queued,
+  // and refused after hundreds of milliseconds.
   bool HasServiceTimeEstimate() const;
   // Returns the time until `requests` have been served, the last of them of the
   // given rank.
--- a/src/libs/admission/arrival.h
+++ b/src/libs/admission/arrival.h
@@ -18,8 +18,8 @@
   // The answer loses value after this time. If unset, its value stays the same
   // until the deadline.
   std::optional<base::Instant> target;
-  // The attempt may be interrupted while it runs, so starting it in vain does
-  // no harm.
+  // The attempt may be interrupted while it runs, so it may also start with too
+  // little time left to finish.
   bool may_stop = false;
 };
 
--- a/src/libs/admission/attempt_ledger.h
+++ b/src/libs/admission/attempt_ledger.h
@@ -20,7 +20,7 @@
 namespace chestnutport::admission {
 
 struct LedgerLimits {
-  // How long the record of a finished attempt is kept.
+  // How long the record of an attempt that finished or never runs is kept.
   base::Duration retention = std::chrono::minutes(2);
   size_t max_finished = 65536;  // The oldest records are dropped above this.
   // How long the highest dropped sequence number of an idle origin is kept.
--- a/src/libs/admission/attempt_state.h
+++ b/src/libs/admission/attempt_state.h
@@ -10,7 +10,7 @@
   kNeverRuns,  // Refused, or cancelled, perhaps before it arrived.
   kQueued,
   kRunning,   // Handed to the server.
-  kFinished,  // Answered by the server, or its connection was lost.
+  kFinished,  // Sent to the server, and answered, lost, timed out or stopped.
   kUnknown,   // No record, or its record was dropped: it may have run.
 };
 
--- a/src/libs/admission/cold_start_limiter.h
+++ b/src/libs/admission/cold_start_limiter.h
@@ -57,8 +57,8 @@
 
   // Returns whether a request of this rank may be sent now. Less urgent ranks
   // leave part of the burst to more urgent ones, so that the small capacity of
-  // a cold server goes to the most urgent requests, whatever their order of
-  // arrival.
+  // a cold server goes to the most urgent requests, regardless of their order
+  // of arrival.
   bool MayStart(int rank, base::Instant now) const {
     return TimeUntilAllowed(1, rank, now) == base::Duration();
   }
--- a/src/libs/calls/attempt_status.h
+++ b/src/libs/calls/attempt_status.h
@@ -6,10 +6,10 @@
 namespace chestnutport::calls {
 
 enum class AttemptStatus {
-  kNeverRuns,    // Has not run and never will, even if it arrives later.
-  kQueued,       // Waits for a slot of the server.
-  kRunning,      // Was handed to the server.
-  kFinished,     // The server answered, or its connection was lost.
+  kNeverRuns,  // Has not run and never will, even if it arrives later.
+  kQueued,     // Waits for a slot of the server.
+  kRunning,    // Was handed to the server.
+  kFinished,   // Sent to the server, and answered, lost, timed out or stopped.
   kUnknownHere,  // No record: may still arrive, or may have run.
   kNoAnswer,     // The gate could not be reached or did not reply.
 };
--- a/src/libs/calls/call.h
+++ b/src/libs/calls/call.h
@@ -59,7 +59,7 @@
     kResolving,   // Its connection was lost; the other node's reply to a
                   // cancellation is awaited.
     kNotRun,      // Has not run and never will.
-    kMayHaveRun,  // May have run; nothing further can be learnt.
+    kMayHaveRun,  // May have run; no further reply is expected.
     kFailed,      // The server answered with a status of 500 or more.
   };
 
--- a/src/libs/gate/gate_report.h
+++ b/src/libs/gate/gate_report.h
@@ -12,7 +12,7 @@
 
 struct GateReport {
   uint64_t life = 0;          // Incarnation number of the server.
-  base::Instant cold_until;   // As far as the gate knows.
+  base::Instant cold_until;   // As last reported or assumed.
   base::Instant last_answer;  // To a request or a probe.
   wire::LoadReport load;
   // Age of the server's last slowness report; exported as
--- a/src/libs/ingress/attempt_sender.cc
+++ b/src/libs/ingress/attempt_sender.cc
@@ -150,7 +150,7 @@
   const bool is_complete = result.end == net::TransferEnd::kComplete;
   const bool has_capacity =
       is_complete && result.answer.status == traffic::kCapacityAvailable;
-  // The request itself was not sent, whatever the result of the inquiry.
+  // The request itself was not sent, regardless of the result of the inquiry.
   if (!is_complete)
     result.end = net::TransferEnd::kNotSent;
   if (!has_capacity || !sent.handler) {
--- a/src/libs/ingress/call_log.h
+++ b/src/libs/ingress/call_log.h
@@ -23,7 +23,8 @@
   uint64_t revision = 0;  // Of the active configuration.
 };
 
-// Logs nothing if the first attempt succeeded within the latency target.
+// Logs nothing if the call succeeded with a single attempt within the latency
+// target.
 void LogCallEnd(const ActiveCall& call, const CallEnd& end, base::Instant now);
 
 // Logs a request that was rejected before any attempt. `revision`: of the
--- a/src/libs/routing/server_chooser.cc
+++ b/src/libs/routing/server_chooser.cc
@@ -11,8 +11,8 @@
 // centre, because traffic between data centres costs money.
 constexpr int kSampleSize = 3;
 constexpr int kLocalSampleSize = 2;
-// Factor applied to the expected time of a local server while its load and its
-// strain are at most these limits.
+// Factor applied to the expected time of a local server while its load is at
+// most kMaxLocalLoad and its strain is below kMaxLocalStrain.
 constexpr double kLocalTimeFactor = 0.8;
 constexpr double kMaxLocalLoad = 0.6;
 constexpr double kMaxLocalStrain = 1.5;
--- a/tests/auto/admission/straggling_server_test.cc
+++ b/tests/auto/admission/straggling_server_test.cc
@@ -1,6 +1,6 @@
 // Guards against requests that are started too late: the server's work takes a
-// large part of the deadline, and there are more callers than it can serve.
-// Such work is done in vain, and its caller gets an "unknown" outcome.
+// large part of the time until the deadline, and there are more requests than
+// it can serve. Their work is wasted, and the callers get an "unknown" outcome.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
