--- a/src/libs/admission/concurrency_limit.cc
+++ b/src/libs/admission/concurrency_limit.cc
@@ -22,7 +22,8 @@
 constexpr int kSamplesPerSlot = 5;
 // Ratio of the service time to the reference that starts an upward trial.
 constexpr double kRelievedRatio = 0.9;
-// Windows until the first upward trial; doubles after each failed one.
+// Windows between a kept change of the limit and the next upward trial; doubles
+// after each failed one.
 constexpr int kUpTrialInterval = 2;
 constexpr int kMaxUpTrialInterval = 16;
 // Smoothing factors of the mean service time and of the reference.
--- a/src/libs/calls/retry_delay.cc
+++ b/src/libs/calls/retry_delay.cc
@@ -9,7 +9,8 @@
 // Callers shorten a longer delay to a third of the time they have left, which
 // would remove the jitter: they would all retry at the same time.
 constexpr double kMaxShareOfRemaining = 0.3;
-// Time within which a full queue has been replaced by other requests.
+// Minimum before the jitter: time within which a full queue has been replaced
+// by other requests.
 constexpr base::Duration kMinDelay = std::chrono::milliseconds(20);
 // The jitter: the delay is multiplied by a random factor from this to 1.
 constexpr double kMinSpreadFactor = 0.5;
--- a/src/libs/gate/gate_report.h
+++ b/src/libs/gate/gate_report.h
@@ -15,8 +15,8 @@
   base::Instant cold_until;   // As last reported or assumed.
   base::Instant last_answer;  // To a request or a probe.
   wire::LoadReport load;
-  // Age of the server's last slowness report; exported as
-  // chestnutport_server_word_age_seconds.
+  // Age of the server's last slowness report, or zero if there was none;
+  // exported as chestnutport_server_word_age_seconds.
   base::Duration slowness_report_age{};
   uint64_t probes = 0;
   base::Duration probe_time{};  // Total server time spent on probes.
