--- a/src/libs/admission/admission_controller.h
+++ b/src/libs/admission/admission_controller.h
@@ -30,7 +30,8 @@
   ColdStartOptions cold;        // Rate limit during the warm-up.
   TrafficShares shares;
   LedgerLimits ledger;  // Read at construction only.
-  // If false, the concurrency limit is always `slots`, whatever is measured.
+  // If false, the concurrency limit is always `slots`, regardless of service
+  // times.
   bool adaptive = true;
 };
 
@@ -44,8 +45,10 @@
   // Admits, queues or refuses an attempt. Each attempt runs at most once: a
   // second arrival with the same id is refused.
   AdmissionActions Arrive(const Arrival& arrival, base::Instant now);
-  // Returns the refusal that Arrive() would return now, or nothing if the
-  // attempt would be started or queued. Does not record the attempt.
+  // Returns the refusal that a new attempt would get now, or nothing if it
+  // would be started or queued. Does not record the attempt. Unlike Arrive(),
+  // checks neither for an earlier arrival with the same id nor for a full
+  // queue.
   std::optional<AdmissionAction> CheckRefusal(const Arrival& arrival,
                                               base::Instant now);
   // Returns whether an attempt with a kStart action may still be sent at `now`,
@@ -57,8 +60,9 @@
                           base::Instant now,
                           ServerResult result = ServerResult::kAnswered);
   // Guarantees that the attempt does not start after this call, even if it
-  // arrives later. Returns its state before the call, or kNeverRuns if it had
-  // not arrived; an attempt that was queued does not run.
+  // arrives later. Returns the state before the call: after kQueued, the
+  // attempt does not run. Returns kNeverRuns if it had not arrived, and
+  // kUnknown if its record may have been dropped.
   AttemptState Cancel(const base::AttemptId& attempt, base::Instant now);
   // Returns the state of the attempt without changing it.
   AttemptState State(const base::AttemptId& attempt) const;
@@ -114,20 +118,21 @@
   bool HasFreeSlot(base::Instant now) const;
   int Limit(base::Instant now) const;
   int Queued() const { return static_cast<int>(queue_.size()); }
-  // Returns the mean service time of the flow. The mean of all flows would hold
-  // back short requests as late when they share the server with long ones, and
-  // refuse them.
+  // Returns the mean service time of the flow, or that of all flows if the flow
+  // has no sample. The mean of all flows is too long for short requests that
+  // share the server with long ones: they would be refused as late.
   base::Duration ExpectedServiceTime(FlowId flow) const;
   // Returns whether a queued attempt may start at `start`. An attempt that must
-  // not be interrupted needs enough time to finish by its deadline, judged by
-  // the recent service times of its flow; otherwise its caller would get an
-  // "unknown" outcome for work done in vain. Attempts that find capacity on
-  // arrival skip this check, so that the recovery of a slow server is noticed.
+  // not be interrupted needs enough time to finish by its deadline, according
+  // to the recent service times of its flow; otherwise its work would be wasted
+  // and its caller would get an "unknown" outcome. Attempts that find capacity
+  // on arrival skip this check, so that the recovery of a slow server is
+  // detected.
   bool CanMeetDeadline(const QueuedAttempt& attempt, base::Instant start) const;
   // Returns false until the server has answered as many requests as it has
-  // slots. The first answers are those of short requests; with an estimate from
-  // them, when all servers have just started, queued attempts are refused after
-  // hundreds of milliseconds in the queue.
+  // slots. The first answers are those of short requests. When all servers have
+  // just started, an estimate from these is too low: attempts would be queued,
+  // and refused after hundreds of milliseconds.
   bool HasServiceTimeEstimate() const;
   // Returns the time until `requests` have been served, the last of them of the
   // given rank.
--- a/src/libs/admission/cold_start_limiter.h
+++ b/src/libs/admission/cold_start_limiter.h
@@ -57,8 +57,8 @@
 
   // Returns whether a request of this rank may be sent now. Less urgent ranks
   // leave part of the burst to more urgent ones, so that the small capacity of
-  // a cold server goes to the most urgent requests, whatever their order of
-  // arrival.
+  // a cold server goes to the most urgent requests, regardless of their order
+  // of arrival.
   bool MayStart(int rank, base::Instant now) const {
     return TimeUntilAllowed(1, rank, now) == base::Duration();
   }
@@ -66,7 +66,7 @@
   // none may.
   int LeastUrgentRankAllowed(base::Instant now) const;
   // Returns the time until the last of `requests` may be sent to the server,
-  // one after the other.
+  // one after the other; zero if no rate limit applies.
   base::Duration TimeUntilAllowed(double requests,
                                   int rank,
                                   base::Instant now) const;
--- a/src/libs/gate/gate_report.h
+++ b/src/libs/gate/gate_report.h
@@ -12,11 +12,11 @@
 
 struct GateReport {
   uint64_t life = 0;          // Incarnation number of the server.
-  base::Instant cold_until;   // As far as the gate knows.
+  base::Instant cold_until;   // As last reported or assumed.
   base::Instant last_answer;  // To a request or a probe.
   wire::LoadReport load;
-  // Age of the server's last slowness report; exported as
-  // chestnutport_server_word_age_seconds.
+  // Age of the server's last slowness report, or zero if there was none;
+  // exported as chestnutport_server_word_age_seconds.
   base::Duration slowness_report_age{};
   uint64_t probes = 0;
   base::Duration probe_time{};  // Total server time spent on probes.
--- a/src/libs/ingress/call_log.h
+++ b/src/libs/ingress/call_log.h
@@ -1,6 +1,6 @@
-// Logs how callers' requests ended, and the facts that led to it. An ordinary
-// success is not logged; any other end can be found by the request id that the
-// caller gave.
+// Logs how callers' requests ended, with the attempts that led to it. Ordinary
+// successes are not logged; any other end can be found by the caller's request
+// id.
 #ifndef INGRESS_CALL_LOG_H_
 #define INGRESS_CALL_LOG_H_
 
@@ -23,7 +23,8 @@
   uint64_t revision = 0;  // Of the active configuration.
 };
 
-// Logs nothing if the first attempt succeeded within the latency target.
+// Logs nothing if the call succeeded with a single attempt within the latency
+// target.
 void LogCallEnd(const ActiveCall& call, const CallEnd& end, base::Instant now);
 
 // Logs a request that was rejected before any attempt. `revision`: of the
--- a/tests/auto/admission/straggling_server_test.cc
+++ b/tests/auto/admission/straggling_server_test.cc
@@ -1,6 +1,6 @@
 // Guards against requests that are started too late: the server's work takes a
-// large part of the deadline, and there are more callers than it can serve.
-// Such work is done in vain, and its caller gets an "unknown" outcome.
+// large part of the time until the deadline, and there are more requests than
+// it can serve. Their work is wasted, and the callers get an "unknown" outcome.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -29,7 +29,7 @@
   int answered = 0;
   // Started with less time left than the work takes.
   int started_too_late = 0;
-  // Started with less time left than 90% of the work takes.
+  // Started with less time left than 90% of what the work takes.
   int started_far_too_late = 0;
   int refused = 0;
 };
@@ -137,9 +137,9 @@
     CHECK(counts.answered >= 0.95 * capacity);
   }
   SECTION("and serves all requests again once it recovers") {
-    const Counts well = simulation.Run(kNormalWork, 0.5, 1000);
-    CHECK(well.refused <= 5);
-    CHECK(well.answered >= 995);
+    const Counts recovered = simulation.Run(kNormalWork, 0.5, 1000);
+    CHECK(recovered.refused <= 5);
+    CHECK(recovered.answered >= 995);
   }
 }
 
