--- a/src/libs/quarantine/crash_id.h
+++ b/src/libs/quarantine/crash_id.h
@@ -12,7 +12,7 @@
 
 struct CrashId {
   base::NodeId node;  // The node beside the server.
-  uint32_t life = 0;  // Counter of the server's starts, kept by that node.
+  uint32_t life = 0;  // Incarnation number, counted by that node.
 
   // The linter takes the zero inside the defaulted comparison for a pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
--- a/src/libs/quarantine/crash_ledger.cc
+++ b/src/libs/quarantine/crash_ledger.cc
@@ -14,7 +14,7 @@
 
 // Accepts observations and refuted crashes.
 template <typename Crash>
-bool Holds(const std::vector<Crash>& crashes, const CrashId& id) {
+bool Contains(const std::vector<Crash>& crashes, const CrashId& id) {
   return std::ranges::find(crashes, id, &Crash::crash) != crashes.end();
 }
 
@@ -32,7 +32,7 @@
   crashes.insert(place, crash);
 }
 
-// Differs from the digest of the observation of the same crash.
+// Returns a digest that differs from that of an observation of the same crash.
 uint64_t RefutedDigest(RequestFingerprint fingerprint, const CrashId& crash) {
   return ~CrashDigest(fingerprint, crash);
 }
@@ -77,8 +77,8 @@
   }
   for (const CrashObservation& observation : received.crashes) {
     lamport_clock_ = std::max(lamport_clock_, observation.lamport_time);
-    const bool is_remembered = observation.at + kRetention > now;
-    is_new |= is_remembered && AddObservation(row, observation);
+    const bool is_retained = observation.at + kRetention > now;
+    is_new |= is_retained && AddObservation(row, observation);
   }
   if (is_new) {
     row.changed_at = now;
@@ -197,18 +197,19 @@
 }
 
 bool CrashLedger::MeetsQuarantineCriteria(const Row& row) {
-  const bool was_alone =
+  const bool was_sole_suspect =
       std::ranges::any_of(row.crashes, &CrashObservation::is_sole_suspect);
-  if (row.crashes.size() < kQuarantineThreshold || !was_alone)
+  if (row.crashes.size() < kQuarantineThreshold || !was_sole_suspect)
     return false;
   const base::Duration run_time =
       std::ranges::max(row.crashes, {}, &CrashObservation::run_time).run_time;
-  int surprise = 0;
+  int surprisal = 0;
   for (const CrashObservation& observation : row.crashes)
-    surprise += Surprisal(run_time, observation.other_crashes);
-  const auto further =
+    surprisal += Surprisal(run_time, observation.other_crashes);
+  const auto extra_crashes =
       static_cast<int>(row.crashes.size() - kQuarantineThreshold);
-  return surprise >= kQuarantineSurprisal + kSurprisalPerExtraCrash * further;
+  return surprisal >=
+         kQuarantineSurprisal + kSurprisalPerExtraCrash * extra_crashes;
 }
 
 RequestEvidence CrashLedger::ToEvidence(RequestFingerprint fingerprint,
@@ -218,15 +219,15 @@
 
 bool CrashLedger::AddObservation(Row& row,
                                  const CrashObservation& observation) {
-  if (Holds(row.refuted, observation.crash) ||
-      Holds(row.crashes, observation.crash))
+  if (Contains(row.refuted, observation.crash) ||
+      Contains(row.crashes, observation.crash))
     return false;
   InsertSorted(row.crashes, observation);
   return KeepLatest(row, observation.crash);
 }
 
 bool CrashLedger::AddRefuted(Row& row, const RefutedCrash& refuted) {
-  if (Holds(row.refuted, refuted.crash))
+  if (Contains(row.refuted, refuted.crash))
     return false;
   std::erase_if(row.crashes, [&refuted](const CrashObservation& observation) {
     return observation.crash == refuted.crash;
@@ -281,7 +282,7 @@
       std::ranges::count_if(recent_crashes_, [&](const RecentCrash& recent) {
         return recent.crash.node == latest.node && recent.crash != latest &&
                recent.at + kCrashRateWindow > now &&
-               !Holds(row.crashes, recent.crash);
+               !Contains(row.crashes, recent.crash);
       }));
 }
 
--- a/src/libs/quarantine/crash_ledger.h
+++ b/src/libs/quarantine/crash_ledger.h
@@ -1,4 +1,4 @@
-// Collects what a node knows of requests that were running when servers
+// Collects a node's evidence on requests that were running when servers
 // crashed, from its own server and from other nodes, and derives the verdicts.
 // Does no I/O; times are passed in.
 //
@@ -32,8 +32,8 @@
   // one crash of a server that was running no other suspect.
   static constexpr size_t kSuspicionThreshold = 2;
   static constexpr size_t kQuarantineThreshold = 3;
-  // The total surprisal that a quarantine also requires: the probability that
-  // three crashes in such a time had other causes is then one in 250,000. Each
+  // The total surprisal that a quarantine also requires. It corresponds to a
+  // probability of one in 250,000 that three crashes had other causes. Each
   // further crash raises the requirement, since a long-running request collects
   // some surprisal from many coincidental crashes.
   static constexpr int kQuarantineSurprisal = 54;
@@ -55,8 +55,8 @@
   // evicted first, the oldest first among those.
   static constexpr size_t kMaxRequests = 4096;
   // Crashes kept of one request, refuted or not. The latest by Lamport time are
-  // kept, as that order is the same on all nodes and so they keep the same
-  // ones. By the time of reception, nodes would keep different ones and
+  // kept: this order is the same on all nodes, so all keep the same crashes. If
+  // the order were that of reception, nodes would keep different crashes and
   // exchange them for ever.
   static constexpr size_t kMaxCrashesPerRequest = 8;
   static constexpr size_t kMaxRecentCrashes = 1024;
@@ -69,7 +69,7 @@
                                         base::Instant now);
   // Adds evidence from another node. Returns whether any of it was new.
   bool Merge(const RequestEvidence& received, base::Instant now);
-  // Marks all crashes known of the request as refuted, because a server
+  // Marks all known crashes of the request as refuted, because a server
   // answered it or an operator released it. Returns the evidence to be
   // announced, or nothing if no crash was known.
   std::optional<RequestEvidence> Refute(base::RequestFingerprint fingerprint,
@@ -85,7 +85,7 @@
   // Returns nothing if the ledger has no evidence on the request.
   std::optional<RequestEvidence> Find(
       base::RequestFingerprint fingerprint) const;
-  // Returns the evidence that all nodes are to have: on requests with two
+  // Returns the evidence to be shared with all nodes: on requests with two
   // crashes or more, and on those with refuted crashes. Limited to the
   // kMaxSharedRequests requests with the most crashes.
   std::vector<RequestEvidence> SharedEvidence() const;
@@ -127,11 +127,12 @@
   int CountOtherCrashes(const Row& row,
                         const CrashId& latest,
                         base::Instant now) const;
-  // Must be called after each change of the shared evidence.
+  // Discards the cached digest. Must be called with each change of the shared
+  // evidence.
   void OnChanged() { digest_.reset(); }
 
   absl::flat_hash_map<base::RequestFingerprint, Row> rows_;
-  mutable std::optional<uint64_t> digest_;  // Nothing while outdated.
+  mutable std::optional<uint64_t> digest_;  // Unset while outdated.
   std::deque<RecentCrash> recent_crashes_;  // Newest last.
   uint64_t lamport_clock_ = 0;  // Greatest Lamport time of all known crashes.
 };
--- a/src/libs/quarantine/crash_observation.h
+++ b/src/libs/quarantine/crash_observation.h
@@ -17,7 +17,8 @@
   // How long the request had run when the server crashed; shown to operators as
   // `ran`.
   base::Duration run_time{};
-  // Recent crashes of the same server at which the request was not running.
+  // Number of recent crashes of the same server at which the request was not
+  // running.
   int other_crashes = 0;
   // Whether the request was the only suspect running on the server; shown to
   // operators as `alone`.
--- a/src/libs/quarantine/evidence_codec.cc
+++ b/src/libs/quarantine/evidence_codec.cc
@@ -71,8 +71,8 @@
   }
 }
 
-// Returns the elements of an array that has between `least` and `most`; throws
-// msgpack::type_error otherwise.
+// Returns the elements of an array; throws msgpack::type_error if `object` is
+// not an array of `least` to `most` elements.
 std::span<const msgpack::object> ReadArray(const msgpack::object& object,
                                            uint32_t least,
                                            uint32_t most) {
--- a/src/libs/quarantine/evidence_codec.h
+++ b/src/libs/quarantine/evidence_codec.h
@@ -14,7 +14,8 @@
 
 namespace chestnutport::quarantine {
 
-// Upper bound in bytes of the evidence that a ledger keeps of one request.
+// Upper bound in bytes of the encoded evidence that a ledger keeps on one
+// request.
 inline constexpr size_t kMaxEncodedSize = 320;
 
 // Returns an upper bound in bytes of what `evidence` adds to a message.
@@ -24,7 +25,8 @@
 // to `now`, since the clocks of nodes differ.
 std::string EncodeEvidence(std::span<const RequestEvidence> all,
                            base::Instant now);
-// Returns nothing if any part is malformed.
+// Returns an empty list if `bytes` is empty, and nothing if any part is
+// malformed.
 std::optional<std::vector<RequestEvidence>> DecodeEvidence(
     std::string_view bytes,
     base::Instant now);
--- a/src/libs/quarantine/quarantine_filter.cc
+++ b/src/libs/quarantine/quarantine_filter.cc
@@ -17,8 +17,8 @@
          std::pair(!b.is_suspect, b.run_time);
 }
 
-bool Holds(const std::vector<RunningRequest>& running,
-           RequestFingerprint fingerprint) {
+bool Contains(const std::vector<RunningRequest>& running,
+              RequestFingerprint fingerprint) {
   return std::ranges::find(running, fingerprint,
                            &RunningRequest::fingerprint) != running.end();
 }
@@ -94,7 +94,7 @@
         request.fingerprint.value != 0 &&
         !answered_.Contains(request.fingerprint, crash.life, now);
     // Concurrent runs of the same request count once.
-    const bool is_new = !Holds(attributed.running, request.fingerprint);
+    const bool is_new = !Contains(attributed.running, request.fingerprint);
     if (may_be_cause && is_new &&
         attributed.running.size() < kMaxAttributedRequests)
       attributed.running.push_back(request);
--- a/src/libs/quarantine/quarantine_filter.h
+++ b/src/libs/quarantine/quarantine_filter.h
@@ -1,5 +1,5 @@
-// Decides by the verdicts of its node which requests a server may run, and
-// which of its running requests may have caused a crash. Does no I/O; times are
+// Decides from the verdicts of the node which requests its server may run, and
+// which of the running requests may have caused a crash. Does no I/O; times are
 // passed in.
 #ifndef QUARANTINE_QUARANTINE_FILTER_H_
 #define QUARANTINE_QUARANTINE_FILTER_H_
@@ -32,8 +32,8 @@
 // A request about to be sent to the server.
 struct IncomingRequest {
   base::RequestFingerprint fingerprint;
-  // Whether the sending node knows of two crashes with the request. That node
-  // may know them before the verdict has reached this one.
+  // Whether the sending node has recorded two crashes with the request. Its
+  // evidence may be newer than the verdicts of this node.
   bool is_suspect = false;
 };
 
@@ -43,8 +43,9 @@
   // whatever their run time, then the most recently started.
   static constexpr size_t kMaxAttributedRequests = 64;
 
-  // Returns the requests with a verdict that the server recently answered in
-  // its current life `life`, which is evidence in their favour.
+  // Replaces the verdicts. Returns the requests with a verdict that the server
+  // recently answered in `life`, its current incarnation: the answers are
+  // evidence in their favour.
   std::vector<base::RequestFingerprint> SetVerdicts(SharedVerdicts verdicts,
                                                     uint64_t life,
                                                     base::Instant now);
@@ -55,16 +56,16 @@
   // Called when the request has been sent to the server.
   void OnStarted(const base::AttemptId& attempt,
                  const IncomingRequest& request);
-  // Called when the attempt is over. `life` is the life of the server that
-  // answered it, or nothing if it was not answered. Returns whether the answer
-  // is evidence in favour of a request that is not free.
+  // Called when the attempt is over. `life` is the incarnation of the server
+  // that answered it, or nothing if it was not answered. Returns whether the
+  // answer is evidence in favour of a request that is not free.
   bool OnEnded(const base::AttemptId& attempt,
                base::RequestFingerprint fingerprint,
                std::optional<uint64_t> life,
                base::Instant now);
 
   // Returns the requests that may have caused the crash: those of `running`
-  // that the server had not recently answered in the same life.
+  // that the server had not recently answered in the same incarnation.
   ServerCrash AttributeCrash(const CrashId& crash,
                              std::span<const RunningRequest> running,
                              base::Instant now) const;
--- a/src/libs/quarantine/recently_answered_requests.h
+++ b/src/libs/quarantine/recently_answered_requests.h
@@ -16,19 +16,19 @@
 // send all the time is running at nearly every crash.
 class RecentlyAnsweredRequests {
  public:
-  // An answer is remembered for this time to twice as long; less if a window
-  // fills up.
+  // An answer is remembered for at least this time and at most twice as long;
+  // for less if a window fills up.
   static constexpr std::chrono::seconds kWindow{10};
   // Entries in each of the two windows; about 100 kB in all.
   static constexpr size_t kMaxPerWindow = 2048;
 
-  // Records that the server answered the request in its life `life`.
+  // Records that the server answered the request in its incarnation `life`.
   void Add(base::RequestFingerprint fingerprint,
            uint64_t life,
            base::Instant now);
-  // Returns whether the server answered the request in this life. Other lives
-  // do not count: after a restart the server may run another version, which the
-  // request may crash.
+  // Returns whether the server recently answered the request in its incarnation
+  // `life`. Other incarnations do not count: after a restart the server may run
+  // another version, which the request may crash.
   bool Contains(base::RequestFingerprint fingerprint,
                 uint64_t life,
                 base::Instant now) const;
--- a/src/libs/quarantine/refuted_crash.h
+++ b/src/libs/quarantine/refuted_crash.h
@@ -10,7 +10,7 @@
 
 struct RefutedCrash {
   CrashId crash;
-  uint64_t lamport_time = 0;  // As in the observation.
+  uint64_t lamport_time = 0;  // Of the crash; see CrashObservation.
 
   bool operator==(const RefutedCrash&) const = default;
 };
--- a/src/libs/quarantine/request_evidence.h
+++ b/src/libs/quarantine/request_evidence.h
@@ -22,8 +22,8 @@
   std::vector<RefutedCrash> refuted;
 };
 
-// Depends only on the requests and the identities of their crashes: neither on
-// their order nor on their times.
+// Returns a digest of the requests and the identities of their crashes,
+// independent of their order and times. Refuted crashes are not included.
 uint64_t EvidenceDigest(std::span<const RequestEvidence> all);
 uint64_t CrashDigest(base::RequestFingerprint fingerprint,
                      const CrashId& crash);
--- a/src/libs/quarantine/surprisal.cc
+++ b/src/libs/quarantine/surprisal.cc
@@ -20,11 +20,11 @@
   using Seconds = std::chrono::duration<double>;
   const double rate =
       (other_crashes + kAssumedCrashes) / Seconds(kCrashRateWindow).count();
-  const double expected =
+  const double expected_crashes =
       rate * Seconds(std::max<base::Duration>(run_time, kMinRunTime)).count();
-  const double chance = 1 - std::exp(-expected);
-  const double surprise = -kPerDecade * std::log10(chance);
-  return std::clamp(static_cast<int>(surprise), 0, kMaxSurprisal);
+  const double probability = 1 - std::exp(-expected_crashes);
+  const double surprisal = -kPerDecade * std::log10(probability);
+  return std::clamp(static_cast<int>(surprisal), 0, kMaxSurprisal);
 }
 
 }  // namespace chestnutport::quarantine
--- a/src/libs/quarantine/surprisal.h
+++ b/src/libs/quarantine/surprisal.h
@@ -7,19 +7,19 @@
 
 namespace chestnutport::quarantine {
 
-// Crashes of a server within this time give the rate at which it crashes
-// whatever it runs.
+// Period in which the crashes of a server are counted to estimate its crash
+// rate regardless of the requests that it runs.
 inline constexpr std::chrono::seconds kCrashRateWindow{60};
 
 // Upper bound for one crash: a probability of one in a thousand.
 inline constexpr int kMaxSurprisal = 30;
 
 // Returns ten times the negative decimal logarithm of the probability that the
-// server crashes during a run of the request: 20 means one in a hundred. `runs`
-// is the longest run at any of the crashes, since the request would have run
-// that long each time had the server not crashed. `other_crashes` is the number
-// of crashes of the same server in the last `kCrashRateWindow` at which the
-// request was not running.
+// server crashes during a run of the request: 20 means one in a hundred.
+// `run_time` is the longest time that the request had run at any of the
+// crashes: it would have run that long each time if the server had not crashed.
+// `other_crashes` is the number of crashes of the same server in the last
+// `kCrashRateWindow` at which the request was not running.
 //
 // Prevents a verdict on a long-running request while servers crash for other
 // reasons, since such a request is running at nearly every crash. On a server
