--- a/src/libs/membership/evidence_disseminator.h
+++ b/src/libs/membership/evidence_disseminator.h
@@ -1,7 +1,7 @@
 // Disseminates evidence on requests that were running when servers crashed,
 // within a bandwidth budget of its own.
 //
-// Most crashes say nothing about the requests that were running. The first
+// Most crashes are not caused by the requests that were running. The first
 // crash of a request is therefore sent only to a few collectors, chosen by the
 // fingerprint of the request. Once two crashes are known, the evidence is
 // broadcast with gossip messages. Broadcasting each crash would exhaust the
@@ -37,7 +37,7 @@
                        const GossipOptions& options,
                        base::Instant now);
 
-  // Returns whether the evidence on the request is to be known to all nodes.
+  // Returns whether the evidence on the request is shared with all nodes.
   bool IsFleetWide(base::RequestFingerprint fingerprint) const;
   // Queues the evidence on the request for broadcast.
   void Broadcast(base::RequestFingerprint fingerprint, base::Instant now);
@@ -68,7 +68,7 @@
   std::optional<bool> MergeReceived(std::string_view bytes,
                                     bool should_relay,
                                     base::Instant now);
-  // Returns all evidence that every node is to have, encoded.
+  // Returns the evidence that is shared with all nodes, encoded.
   std::string EncodeAll(base::Instant now) const;
   uint64_t digest() const { return ledger_.digest(); }
 
--- a/src/libs/membership/gossip.cc
+++ b/src/libs/membership/gossip.cc
@@ -208,7 +208,8 @@
     ApplySelfUpdate(now, item);
     return;
   }
-  // Each node concludes from its own suspicion that a member is gone.
+  // Ignored: each node declares a member gone only after its own suspicion
+  // timeout.
   if (item.state == MemberState::kGone)
     return;
   SharedRecord record;
--- a/src/libs/membership/gossip.h
+++ b/src/libs/membership/gossip.h
@@ -74,7 +74,9 @@
   void OnEvacuationsRead(base::Instant now,
                          const evacuation::Evacuations& read,
                          GossipOutput& output);
-  // Announces to a few members that this node leaves. No call may follow.
+  // Announces to a few members that this node leaves. Afterwards, Run() and
+  // Receive() do nothing and AnswerPull() returns an empty string. Contact()
+  // must not be called any more.
   void Leave(GossipOutput& output);
 
   // Returns the response to another node's pull; empty if `request` is
@@ -85,7 +87,7 @@
                       GossipOutput& output);
   void OnPullFailed(base::Instant now);
 
-  // Returns all live members whose records are known, including this node.
+  // Returns all live members whose records this node has, including itself.
   std::vector<Member> Members() const;
   const MemberTable& table() const { return table_; }
   const GossipCounters& counters() const { return counters_; }
@@ -228,8 +230,8 @@
   unsigned probe_turn_ = 0;
   std::vector<Probe> probes_;
   std::vector<Relay> relays_;
-  // Members missing from another view. They are probed before they are believed
-  // to be gone.
+  // Members missing from another view, which are probed before they are
+  // suspected.
   std::vector<base::NodeId> doubted_;
   absl::flat_hash_map<base::NodeId, base::Instant> suspicions_;
   absl::flat_hash_map<base::NodeId, base::Instant> remove_at_;
@@ -237,8 +239,8 @@
   base::Instant next_flush_;
   base::Instant next_sweep_;
 
-  // The last member whose evidence differed, since when evidence has differed,
-  // and when it last did.
+  // The last member whose evidence digest differed, the time since which
+  // digests have differed, and the time of the last difference.
   base::NodeId evidence_from_;
   base::Instant evidence_differs_since_;
   base::Instant evidence_differed_at_;
--- a/src/libs/membership/gossip_evidence.cc
+++ b/src/libs/membership/gossip_evidence.cc
@@ -8,7 +8,8 @@
 namespace chestnutport::membership {
 namespace {
 
-// Bytes of evidence in one message. Other versions reject longer binary fields.
+// Bytes of evidence in one message. Receivers of any version reject binary
+// fields longer than kMaxPartSize.
 constexpr size_t kMaxEvidenceSize = 1000;
 
 }  // namespace
--- a/src/libs/membership/gossip_options.h
+++ b/src/libs/membership/gossip_options.h
@@ -29,17 +29,18 @@
   base::Duration pull_interval = std::chrono::seconds(5);
   base::Duration fast_pull_interval = std::chrono::milliseconds(700);
   // A run that is later than planned by more than this shows that the process
-  // was paused. Missing acks then say nothing about other members.
+  // was paused. Missing acks are then no evidence of a failure of other
+  // members.
   base::Duration pause_threshold = std::chrono::milliseconds(500);
 
-  size_t indirect_probes = 3;  // Asked to probe for this node.
+  size_t indirect_probes = 3;  // Members that probe for this node.
   // Members of the local data centre that an update is first sent to.
   size_t local_fan_out = 2;
   // Members of any data centre that an update is first sent to.
   size_t fleet_fan_out = 1;
   // How often an update is also piggybacked on pings and acks.
   int retransmissions = 4;
-  size_t leave_fan_out = 8;  // Notified by a leaving node.
+  size_t leave_fan_out = 8;  // Members notified by a leaving node.
   // Rate limit of a node, not counting the fixed part of pings and acks.
   size_t bytes_per_second = 5000;
   // Burst limit. It suffices for a simultaneous start of some 300 nodes, each
@@ -51,7 +52,8 @@
   // a large one, and other nodes nothing.
   size_t evidence_bytes_per_second = 2000;
   size_t evidence_burst_bytes = 20000;
-  // Acks have a limit of their own, since their rate is decided by other nodes.
+  // Acks have a limit of their own, since their rate depends on the pings of
+  // other nodes.
   size_t acks_per_second = 100;
 };
 
--- a/src/libs/membership/gossip_probing.cc
+++ b/src/libs/membership/gossip_probing.cc
@@ -10,7 +10,7 @@
 constexpr size_t kMaxRelays = 64;
 constexpr std::chrono::seconds kSweepInterval(5);
 // How often a second all members together ping each member that is gone or has
-// left. A restarted node may not know any live member to contact.
+// left. A restarted node may have no address of a live member to contact.
 constexpr double kAbsentPingsPerSecond = 2;
 
 }  // namespace
@@ -35,8 +35,8 @@
   SendWithUpdates(now, from, std::move(ack), output);
 }
 
-// A member that is not believed to be alive must receive that claim to refute
-// it.
+// Adds the state of the member unless it is kAlive, so that the member receives
+// the claim and can refute it.
 void Gossip::AddUnlessAlive(base::NodeId id, GossipMessage& message) const {
   const MemberEntry* entry = table_.Find(id);
   if (entry && entry->state != MemberState::kAlive)
@@ -120,10 +120,10 @@
 
 void Gossip::PingAbsent(GossipOutput& output) {
   const std::chrono::duration<double> interval = options_.probe_interval;
-  const double chance = kAbsentPingsPerSecond * interval.count() *
-                        static_cast<double>(table_.absent()) /
-                        static_cast<double>(table_.live() + 1);
-  if (std::uniform_real_distribution<>(0, 1)(random_) >= chance)
+  const double probability = kAbsentPingsPerSecond * interval.count() *
+                             static_cast<double>(table_.absent()) /
+                             static_cast<double>(table_.live() + 1);
+  if (std::uniform_real_distribution<>(0, 1)(random_) >= probability)
     return;
   const MemberEntry* absent = table_.PickAbsent(random_);
   if (!absent)
@@ -131,9 +131,10 @@
   const base::SocketAddress address = absent->record->member.gossip_address;
   if (absent->state == MemberState::kLeft && table_.IsAddressInUse(address))
     return;
-  // No ack is awaited: if the member is there, it refutes the claim that it is
-  // gone. If another node has taken its address, that node reports it; as it
-  // may not know any member yet, the ping carries the record of this node.
+  // No ack is awaited. If the member is reachable, it refutes the claim that it
+  // is gone. If another node has taken its address, that node answers and so
+  // becomes known; it may not know any member yet, so the ping carries the
+  // record of this node.
   GossipMessage ping = MakeMessage(MessageType::kPing, absent->id);
   ping.sequence = ++last_sequence_;
   ping.updates.push_back(MakeUpdate(*table_.Find(self_), true));
--- a/src/libs/membership/gossip_pulling.cc
+++ b/src/libs/membership/gossip_pulling.cc
@@ -30,8 +30,8 @@
 }
 
 // After a partition heals, half of the members have evidence that the other
-// half lacks. Equal digests of some members are therefore no reason to assume
-// that no evidence is missing.
+// half lacks. Equal digests of some members therefore do not end a difference;
+// it ends when no message has shown one for divergence_grace.
 void Gossip::CompareEvidence(base::Instant now, const GossipMessage& message) {
   const uint64_t own = evidence_.digest();
   if (message.evidence_digest.value_or(own) == own)
@@ -178,8 +178,8 @@
   ReplaceEntry(std::move(entry), output);
 }
 
-// Members missing from another view are probed before they are believed to be
-// gone: after a partition heals, each side lacks many members that are alive.
+// Members missing from another view are probed before they are suspected: after
+// a partition heals, each side lacks many members that are alive.
 void Gossip::DoubtUnlisted(const PullResponse& response) {
   std::array<bool, kViewParts> differs{};
   for (const uint8_t part : response.parts)
--- a/src/libs/membership/member.h
+++ b/src/libs/membership/member.h
@@ -43,7 +43,8 @@
   uint64_t incarnation = 0;
   MemberState state = MemberState::kAlive;
   uint64_t revision = 0;  // Configuration revision that it is known to hold.
-  // Whether it has tried to read the platform's store without an answer since.
+  // Whether the platform's store did not respond in time to its last read or
+  // watch; false while it does not read the store.
   bool has_lost_store = false;
   std::optional<ServerAnnouncement>
       server;  // Nothing if no server is announced.
--- a/src/libs/membership/member_table.cc
+++ b/src/libs/membership/member_table.cc
@@ -185,7 +185,7 @@
 
 // Pulled views list the members in the same order on all nodes, so each node
 // starts its round at a random position. Otherwise all nodes would probe the
-// same member at a time.
+// same member at the same time.
 const MemberEntry* MemberTable::NextInFleet(base::Random& random) {
   if (!std::exchange(has_fleet_position_, live_ > 0))
     fleet_position_ = PickIndex(entries_.size(), random);
--- a/src/libs/membership/member_table.h
+++ b/src/libs/membership/member_table.h
@@ -51,8 +51,9 @@
   // node.
   const std::vector<base::NodeId>& local() const { return local_; }
 
-  // The functions below return null if there is no such member. Returns a
-  // random live member, if `local` from this node's data centre.
+  // Returns a random live member, only from this node's data centre if `local`.
+  // This and the other functions that return a pointer return null if there is
+  // no such member.
   const MemberEntry* PickLive(bool local, base::Random& random) const;
   const MemberEntry* PickAbsent(base::Random& random) const;
   // Returns whether a live member has this gossip address.
@@ -62,11 +63,12 @@
   // same members.
   std::vector<const MemberEntry*> PickByRendezvousHash(uint64_t key,
                                                        size_t count) const;
-  // Returns the next member to probe in a round through all members that are
-  // not suspected.
+  // Returns the next member to probe in a round through all members in the
+  // state kAlive; if `local`, those of this node's data centre.
   const MemberEntry* NextProbeTarget(bool local, base::Random& random);
-  // Returns the member that follows this node in the ring of ids and is not
-  // suspected. This node probes it continuously.
+  // Returns the first member in the state kAlive after this node in the ring of
+  // ids; if `local`, in the ring of this node's data centre. This node probes
+  // it continuously.
   const MemberEntry* RingSuccessor(bool local) const;
 
   // Digests of all live members, in total and by part of the view; equal if two
--- a/src/libs/membership/pull_message.h
+++ b/src/libs/membership/pull_message.h
@@ -26,7 +26,7 @@
   ViewDigests digests{};
   std::vector<base::NodeId>
       wanted_records;  // Members whose records are requested.
-  // See GossipMessage.
+  // As in GossipMessage.
   std::optional<uint64_t> evidence_digest;
 
   std::string Encode() const;
--- a/src/libs/membership/update_queue.h
+++ b/src/libs/membership/update_queue.h
@@ -1,4 +1,4 @@
-// Updates that a node has still to transmit.
+// Updates that a node still has to send.
 #ifndef MEMBERSHIP_UPDATE_QUEUE_H_
 #define MEMBERSHIP_UPDATE_QUEUE_H_
 
@@ -35,8 +35,8 @@
   // marks those taken as sent.
   template <typename Take>
   void TakeUnsent(Take take);
-  // Calls `take(update)` for updates in turn until it returns false. Each one
-  // taken has one retransmission less.
+  // Calls `take(update)` for updates in turn until it returns false. Each
+  // update taken uses up one of its retransmissions.
   template <typename Take>
   void TakePiggybacked(Take take);
 
