--- a/src/libs/configuration/change.h
+++ b/src/libs/configuration/change.h
@@ -40,8 +40,9 @@
                                  const std::string* after);
 
 // Returns the changes confirmed after `revision`, as far back as the history
-// reaches, in the order of their revisions. Changes are listed per key if
-// `documents` holds both texts; otherwise one change stands for the service.
+// reaches, in the order of their revisions. A confirmation's changes to a
+// service are listed per key if `documents` holds the service's texts before
+// and after it; otherwise they are returned as one change of the whole service.
 std::vector<ConfirmedChange> ChangesSince(const Head& head,
                                           const Documents& documents,
                                           uint64_t revision);
--- a/src/libs/configuration/confirm_procedure.cc
+++ b/src/libs/configuration/confirm_procedure.cc
@@ -35,11 +35,11 @@
     entry = local.FindPlan(request_.plan_id);
   if (entry) {
     // Confirmed by this procedure only if it has sent a swap.
-    const bool own = swap_.head.revision != 0 &&
-                     entry->confirmed_at == request_.confirmed_at &&
-                     entry->confirmed_by == request_.confirmed_by;
+    const bool is_own = swap_.head.revision != 0 &&
+                        entry->confirmed_at == request_.confirmed_at &&
+                        entry->confirmed_by == request_.confirmed_by;
     return Finished(
-        own ? ConfirmOutcome::kConfirmed : ConfirmOutcome::kAlreadyConfirmed,
+        is_own ? ConfirmOutcome::kConfirmed : ConfirmOutcome::kAlreadyConfirmed,
         entry->revision);
   }
   // The swap can no longer take effect once the revision has increased. A lower
@@ -96,9 +96,10 @@
   // If the request was delivered twice, a failed comparison may be the response
   // to the second delivery after the first took effect. Only a read resolves
   // this.
-  const bool never_sent = !swapped && base::KindOf(swapped.error()) ==
-                                          base::ErrorKind::kStoreUnavailable;
-  if (!never_sent)
+  const bool was_never_sent =
+      !swapped &&
+      base::KindOf(swapped.error()) == base::ErrorKind::kStoreUnavailable;
+  if (!was_never_sent)
     unresolved_swap_revision_ = swap_.expected_store_revision;
   return RetryOrGiveUp(now);
 }
--- a/src/libs/configuration/confirm_procedure.h
+++ b/src/libs/configuration/confirm_procedure.h
@@ -38,7 +38,7 @@
   kUnknown,      // The write may have taken effect.
 };
 
-// The action to take next. The result of each but Finish is passed to the
+// The action to take next. Except for Finish, its result is passed to the
 // corresponding On...() function.
 struct ReadHead {};
 struct WriteDocuments {
@@ -61,9 +61,9 @@
 
 // If the response to the compare-and-swap is lost, its outcome is resolved by
 // reading the head and, if that is unchanged, by sending the same
-// compare-and-swap again. This is safe: the swap takes effect at most once,
-// because it changes the store revision that it compares, and it can no longer
-// take effect once the store shows a later revision.
+// compare-and-swap again. This is safe: the swap changes the store revision
+// that it compares, so it takes effect at most once, and not at all once the
+// store has a later revision.
 class ConfirmProcedure {
  public:
   // Stops retrying at `deadline` and finishes with the outcome known by then.
--- a/src/libs/configuration/current_watch.h
+++ b/src/libs/configuration/current_watch.h
@@ -1,4 +1,4 @@
-// Identifies the current one of a reader's watches of the store.
+// Tracks which of a reader's watches of the store is the current one.
 #ifndef CONFIGURATION_CURRENT_WATCH_H_
 #define CONFIGURATION_CURRENT_WATCH_H_
 
@@ -7,7 +7,7 @@
 
 namespace chestnutport::configuration {
 
-// An abandoned watch still completes at some time; its result is then ignored.
+// The result of an abandoned watch still arrives at some time, and is ignored.
 class CurrentWatch {
  public:
   // Starts a watch in place of any other. Returns its number.
@@ -20,7 +20,7 @@
   bool End(uint64_t number) {
     return number == last_ && std::exchange(is_open_, false);
   }
-  // Returns whether there was a current watch.
+  // Abandons the current watch. Returns whether there was one.
   bool Abandon() { return std::exchange(is_open_, false); }
 
  private:
--- a/src/libs/configuration/fetch_scheduler.cc
+++ b/src/libs/configuration/fetch_scheduler.cc
@@ -84,9 +84,9 @@
 }
 
 void FetchScheduler::OnTransferStarted(base::NodeId from, base::Instant now) {
-  const auto asked = pending_.find(from);
-  if (asked != pending_.end())
-    asked->second.hedge_at = now + kTransferHedgeDelay;
+  const auto fetch = pending_.find(from);
+  if (fetch != pending_.end())
+    fetch->second.hedge_at = now + kTransferHedgeDelay;
 }
 
 void FetchScheduler::OnResponse(base::NodeId from,
@@ -125,15 +125,15 @@
 template <typename Predicate>
 const Member* FetchScheduler::Pick(Predicate predicate,
                                    base::Random& random) const {
-  std::vector<const Member*> fitting;
+  std::vector<const Member*> candidates;
   for (const Member& member : peers_) {
     if (predicate(member) && !pending_.contains(member.id))
-      fitting.push_back(&member);
+      candidates.push_back(&member);
   }
-  if (fitting.empty())
+  if (candidates.empty())
     return nullptr;
-  std::uniform_int_distribution<size_t> index(0, fitting.size() - 1);
-  return fitting[index(random)];
+  std::uniform_int_distribution<size_t> index(0, candidates.size() - 1);
+  return candidates[index(random)];
 }
 
 }  // namespace chestnutport::configuration
--- a/src/libs/configuration/fetch_scheduler.h
+++ b/src/libs/configuration/fetch_scheduler.h
@@ -18,17 +18,17 @@
 // hangs or is unreachable does not delay a revision that others hold.
 class FetchScheduler {
  public:
-  // Time without the first bytes of a response after which another peer is
-  // tried. Longer than the first bytes take between two regions, and a small
-  // part of the time within which a change has to be in force.
+  // If the first bytes of a response have not arrived after this time, another
+  // peer is tried. Longer than the first bytes take between two regions, and a
+  // small part of the time within which a change has to be in force.
   static constexpr base::Duration kFirstByteHedgeDelay =
       std::chrono::milliseconds(200);
-  // The same, counted from the first bytes of a response. A megabyte takes most
-  // of a second over a slow link, and a parallel transfer would only slow it
-  // down.
+  // If a response is incomplete this long after its first bytes, another peer
+  // is tried. A megabyte takes most of a second over a slow link, and a
+  // parallel transfer would only slow it down.
   static constexpr base::Duration kTransferHedgeDelay = std::chrono::seconds(1);
-  // Concurrent fetches of one revision. Bounds the bytes that are transferred
-  // redundantly.
+  // Limit on the concurrent fetches of one revision, and so on the bytes that
+  // are transferred redundantly.
   static constexpr int kMaxConcurrentFetches = 6;
   // Delay after a response that named a newer revision but was incomplete.
   static constexpr base::Duration kRetryDelay = std::chrono::milliseconds(200);
@@ -55,13 +55,14 @@
 
   // Called when the first bytes of a response have arrived.
   void OnTransferStarted(base::NodeId from, base::Instant now);
-  // `revision` is held by the responding peer, `local_revision` by this node
-  // after the response was applied.
+  // Called when `from` has responded. `revision` is the revision of that peer,
+  // `local_revision` that of this node after the response was applied.
   void OnResponse(base::NodeId from,
                   uint64_t revision,
                   uint64_t local_revision,
                   base::Instant now);
-  // The peer's reported revision is dropped until it reports one again.
+  // Called when the fetch from the peer has failed. Its reported revision is
+  // dropped until it reports one again.
   void OnFailed(base::NodeId from);
 
   // Returns the greatest revision that any peer has reported; zero if none.
--- a/src/libs/configuration/head.cc
+++ b/src/libs/configuration/head.cc
@@ -159,10 +159,10 @@
 void BoundHistory(std::vector<HistoryEntry>& history) {
   if (history.size() > kMaxHistoryEntries)
     history.erase(history.begin(), history.end() - kMaxHistoryEntries);
-  size_t detail = 0;
+  size_t services = 0;
   for (auto entry = history.rbegin(); entry != history.rend(); ++entry) {
-    detail += entry->changed.size();
-    if (detail > kMaxHistoryServices) {
+    services += entry->changed.size();
+    if (services > kMaxHistoryServices) {
       entry->changed.clear();
       entry->forgotten = true;
     }
--- a/src/libs/configuration/head.h
+++ b/src/libs/configuration/head.h
@@ -31,8 +31,8 @@
   uint64_t revision = 0;  // Zero before the first confirmation.
   Manifest manifest;
   std::vector<HistoryEntry> history;  // Oldest first.
-  // JSON object with the fields that this version does not know, or empty. They
-  // are written back unchanged.
+  // JSON object with the fields that are unknown to this version, or empty.
+  // They are written back unchanged.
   std::string unknown_fields;
 
   std::string ToJson() const;
--- a/src/libs/configuration/history_entry.h
+++ b/src/libs/configuration/history_entry.h
@@ -17,8 +17,9 @@
   // empty hash means that the service was added.
   std::map<std::string, std::string, std::less<>> changed;
   bool forgotten = false;  // `changed` was dropped to limit the head's size.
-  // Confirmed on a store that had been restored from an older backup, and
-  // superseded by the newer configuration that the nodes still held.
+  // Whether the confirmation was superseded by another head when the store was
+  // repaired, for example on a store that had been restored from an older
+  // backup; see RepairStore().
   bool overruled = false;
   std::string unknown_fields;  // As in Head.
 
--- a/src/libs/configuration/isolation_detector.h
+++ b/src/libs/configuration/isolation_detector.h
@@ -10,16 +10,18 @@
 namespace chestnutport::configuration {
 
 // An isolated node still has to apply confirmed configurations, so it reads the
-// store itself. The failure detection of members is too slow for this: it
-// considers them alive for seconds after their last message.
+// store itself. Membership is too slow for this: members stay alive in it for
+// seconds after their last message.
 class IsolationDetector {
  public:
-  // Within this time two consecutive probes by this node get no response, and
-  // no other node sends one.
+  // Time without contact after which a check fails. In this time, two
+  // consecutive probes by this node have got no response, and no other node has
+  // probed it.
   static constexpr base::Duration kIsolationTimeout =
       std::chrono::milliseconds(500);
-  // Between two checks. Two consecutive checks have to fail: the first one
-  // after the process was paused fails although peers are reachable.
+  // Interval between two checks. Two consecutive checks have to fail, because
+  // the first one after a pause of the process fails although peers are
+  // reachable.
   static constexpr base::Duration kCheckInterval =
       std::chrono::milliseconds(250);
 
--- a/src/libs/configuration/read_timing.h
+++ b/src/libs/configuration/read_timing.h
@@ -7,15 +7,15 @@
 
 namespace chestnutport::configuration {
 
-// Between two reads by one reader in normal operation. Together with
+// Interval between two reads by one reader in normal operation. Together with
 // kReadersPerDataCentre it bounds the fleet's calls regardless of its size.
 inline constexpr base::Duration kReadInterval = std::chrono::seconds(1);
 // Longest interval of a reader whose reads fail, and of a node that knows no
 // other node: 3000 such nodes must not make 3000 calls a second.
 inline constexpr base::Duration kMaxReadInterval = std::chrono::seconds(15);
-// Interval between retries of all nodes together that have lost the store. It
-// leaves capacity for other clients when the store recovers; the first
-// node that reaches it informs the others.
+// Nominal interval between two retries in the whole fleet, by all nodes
+// together that have lost the store. It leaves capacity for other clients when
+// the store recovers; the first node that reaches it informs the others.
 inline constexpr base::Duration kFleetRetryInterval =
     std::chrono::milliseconds(100);
 // The first read is delayed by up to this time, or by a fraction of the longest
@@ -31,7 +31,8 @@
 inline constexpr std::chrono::milliseconds kMaxShortWatch(800);
 inline constexpr std::chrono::milliseconds kMinLongWatch(2000);
 inline constexpr std::chrono::milliseconds kMaxLongWatch(10000);
-// The same for evacuations, which have to be in force within five seconds.
+// Replaces kMaxShortWatch in watches of evacuations, which have to be in force
+// within five seconds.
 inline constexpr std::chrono::milliseconds kMaxShortEvacuationWatch(2000);
 // How long after its end the response to a watch may arrive before the
 // connection counts as lost. If the store is slower than the grace of the short
@@ -43,9 +44,9 @@
 inline constexpr base::Duration kSlowReadThreshold =
     std::chrono::milliseconds(500);
 // Delay of a reader with long watches before its next watch after a change. If
-// changes come in quick succession, it learns of the next one from the
-// short-watch readers by gossip. Half of the time within which a change has to
-// be in force.
+// changes come in quick succession, the short-watch readers announce the next
+// one to it by gossip. Half of the time within which a change has to be in
+// force.
 inline constexpr base::Duration kDelayAfterChange = std::chrono::seconds(1);
 // Readers whose watches ended at the same time spread their next reads over
 // this time.
--- a/src/libs/configuration/reader_selection.h
+++ b/src/libs/configuration/reader_selection.h
@@ -14,16 +14,18 @@
 
 namespace chestnutport::configuration {
 
-// Two, so that one may fail while the other data centres are unreachable.
+// Readers in each data centre. Two, so that one may fail while the other data
+// centres are unreachable.
 inline constexpr size_t kReadersPerDataCentre = 2;
 // In a fleet of at most this size every node is a reader: this costs little,
-// and each node that reaches the store learns of a change at once. In a larger
+// and each node that reaches the store reads a change at once. In a larger
 // fleet, readers that have lost the store are replaced, which takes a second or
 // two.
 inline constexpr size_t kSmallFleetSize = 16;
-// Nodes in the fleet that may be readers, including those that have lost the
-// store; in each data centre at least one more than kReadersPerDataCentre.
-// Bounds the calls to a store that is unavailable to all nodes.
+// Limit on the nodes in the fleet that may be readers, including those that
+// have lost the store. Divided evenly between the data centres, but at least
+// kReadersPerDataCentre + 1 in each. Bounds the calls to a store that is
+// unavailable to all nodes.
 inline constexpr size_t kMaxReaderCandidates = 32;
 // Readers whose watches are short. Two, so that one may fail.
 inline constexpr size_t kShortWatchReaders = 2;
--- a/src/libs/configuration/repair.cc
+++ b/src/libs/configuration/repair.cc
@@ -20,9 +20,9 @@
                               ? winner.revision
                               : winner.history.front().revision;
   for (HistoryEntry entry : other.history) {
-    const bool known = std::ranges::any_of(
+    const bool is_known = std::ranges::any_of(
         winner.history, [&](auto& e) { return e.plan_id == entry.plan_id; });
-    if (known || entry.revision < oldest)
+    if (is_known || entry.revision < oldest)
       continue;
     entry.overruled = true;
     head.history.push_back(std::move(entry));
--- a/src/libs/configuration/revision_lag.h
+++ b/src/libs/configuration/revision_lag.h
@@ -13,8 +13,8 @@
  public:
   // Called when the store or another node was found to hold `revision`.
   void OnRevisionReported(uint64_t revision, base::Instant now);
-  // Called when `revision` comes into force. Returns for how long a newer
-  // revision than the previous one was known.
+  // Called when `revision` comes into force. Returns the lag that it ends: how
+  // long a newer revision than the one in force before was known.
   base::Duration OnInForce(uint64_t revision, base::Instant now);
 
   // Returns the current lag; zero if no newer revision is known.
