--- a/src/libs/fleet_configuration/configuration_confirmer.h
+++ b/src/libs/fleet_configuration/configuration_confirmer.h
@@ -26,8 +26,8 @@
                          ReportedRevisionSource reported_revision);
   ~ConfigurationConfirmer();
 
-  // Starts a confirmation. `done` is called once, at the latest one call to the
-  // store after kConfirmTimeout.
+  // Starts a confirmation. `done` is called once, at the latest after
+  // kConfirmTimeout and the duration of one more call to the store.
   void Start(configuration::ConfirmRequest request, DoneHandler done);
 
  private:
--- a/src/libs/fleet_configuration/configuration_fetcher.h
+++ b/src/libs/fleet_configuration/configuration_fetcher.h
@@ -19,8 +19,8 @@
 namespace chestnutport::fleet_configuration {
 
 // Fetches from peers that reported a newer revision, as selected by
-// FetchScheduler. Also fetches from a random peer at intervals, so that a lost
-// announcement only delays a revision.
+// FetchScheduler. Also fetches from a random peer at intervals, so that a
+// revision whose announcement was lost is only delayed.
 class ConfigurationFetcher {
  public:
   using ApplyHandler = std::function<configuration::ApplyResult(
--- a/src/libs/fleet_configuration/configuration_format.h
+++ b/src/libs/fleet_configuration/configuration_format.h
@@ -26,7 +26,7 @@
                                        std::string_view text,
                                        uint64_t revision,
                                        declarations::DeclarationTexts texts) {
-  // Returns the key of the entry that changes with each confirmation.
+  // Returns the key of the head, the entry that changes with each confirmation.
   { format.HeadKey() } -> std::same_as<std::string>;
   // Returns nothing if the value of the entry cannot be parsed.
   { format.ReadHead(text) } -> std::same_as<std::optional<PublishedHead>>;
--- a/src/libs/fleet_configuration/configuration_manager.cc
+++ b/src/libs/fleet_configuration/configuration_manager.cc
@@ -101,8 +101,8 @@
   LogEvent(Event::kConfigurationConfirmed,
            {{"revision", absl::StrCat(finish.revision)},
             {"by", request.confirmed_by}});
-  // Incomplete if other plans were confirmed since. In that case the reader
-  // applies the configuration.
+  // Returns kIncomplete if other plans were confirmed since. In that case the
+  // reader applies the configuration.
   Apply(finish.head, configuration::MakeDocuments(request.texts),
         kFromOperator);
 }
--- a/src/libs/fleet_configuration/configuration_manager.h
+++ b/src/libs/fleet_configuration/configuration_manager.h
@@ -51,7 +51,8 @@
   // Called when `from` has announced that it holds `revision`.
   void OnRevisionReported(uint64_t revision, const membership::Member& from);
 
-  // Confirms a plan. `handler` receives the outcome as far as it is known.
+  // Confirms a plan and calls `handler` with the outcome, which may be
+  // kUnknown.
   void Confirm(const configuration::ConfirmRequest& request,
                ConfirmHandler handler);
 
--- a/src/libs/fleet_configuration/configuration_reader.cc
+++ b/src/libs/fleet_configuration/configuration_reader.cc
@@ -48,8 +48,8 @@
     const std::vector<membership::Member>& members) {
   using configuration::ReadTrigger;
   const ReadTrigger reason = role_.SetMembers(self, members);
-  // A node that has lost the store itself does not read again each time that a
-  // short-watch reader loses it too.
+  // Skipped if this node has lost the store itself: it would otherwise read
+  // again each time that a short-watch reader loses the store.
   const bool is_known_lost =
       has_lost_store_ && reason == ReadTrigger::kShortWatchReaderLostStore;
   if (reason == ReadTrigger::kNone || is_known_lost || is_reading_)
@@ -107,8 +107,8 @@
 }
 
 void ConfigurationReader::ContinueRound() {
-  // Until a starting node knows the fleet it considers itself a reader, so the
-  // first read is not followed by a watch.
+  // A starting node has the role of a reader until it has received the members,
+  // so the first read is not followed by a watch.
   const bool is_settled = std::exchange(has_read_, true);
   if (is_settled && ShouldRead() && store_revision_ > 0 && store_.CanWatch()) {
     UpdateStoreState(false);
@@ -186,8 +186,8 @@
   }
   const configuration::SwapHead swap{stored.store_revision, repaired};
   const uint64_t found_revision = stored.head.revision;
-  // Also the documents that the stored head names: a restored store may lack
-  // any of them.
+  // Also writes the documents that the stored head names: a restored store may
+  // lack any of them.
   store_.WriteDocuments(documents, [this, swap, found_revision](bool written) {
     if (!written) {
       FinishRound(true);
--- a/src/libs/fleet_configuration/configuration_reader.h
+++ b/src/libs/fleet_configuration/configuration_reader.h
@@ -28,7 +28,8 @@
 
   // This node's link to the rest of the fleet.
   struct FleetCallbacks {
-    // Returns when any other node last made contact; nothing if never.
+    // Returns the time of the last message from any other node; nothing if
+    // there was none.
     std::function<std::optional<base::Instant>()> heard_at;
     // Informs the other nodes that this node has lost the store, or can reach
     // it again.
@@ -68,10 +69,11 @@
   void Watch();
   void OnWatchEnded(
       const base::Result<ConfigurationStore::WatchResult>& watched);
-  // Continues after the stored head was found to be applied: starts a watch, or
-  // schedules the next read.
+  // Continues when this node has the stored head: starts a watch, or schedules
+  // the next read.
   void ContinueRound();
-  // The same after a change. A reader with long watches delays its next watch.
+  // Continues after a change was applied. A reader with long watches first
+  // waits for kDelayAfterChange.
   void ContinueAfterChange();
   void Read();
   void OnHead(const base::Result<configuration::StoredHead>& stored);
@@ -104,7 +106,7 @@
   bool has_read_ = false;    // Since the start of the node.
   bool is_reading_ = false;  // Until a watch or a delay begins.
   bool must_read_once_ =
-      false;  // At the next ReadIfDue(), even if it is no reader.
+      false;  // At the next ReadIfDue(), even if this node is not a reader.
   bool has_lost_store_ = false;
 };
 
--- a/src/libs/fleet_configuration/configuration_store.h
+++ b/src/libs/fleet_configuration/configuration_store.h
@@ -55,7 +55,8 @@
   // any read failed.
   void ReadDocuments(const std::vector<std::string>& hashes,
                      const DocumentsHandler& handler);
-  // Writes the documents that the store does not hold yet.
+  // Writes those of `documents` that the store does not hold yet. The handler
+  // receives false if any write failed.
   void WriteDocuments(const configuration::Documents& documents,
                       const WrittenHandler& handler);
   void SwapHead(const configuration::SwapHead& swap, SwapHandler handler);
