--- a/src/libs/server/local_server.h
+++ b/src/libs/server/local_server.h
@@ -37,7 +37,7 @@
   using DeclaredPredicate = std::function<bool(const std::string& service)>;
 
   // `loop` must outlive this object. `changed` is called after each change of
-  // state(), but for small shifts of `cold_until`, which are not published.
+  // state(), except for small shifts of `cold_until`, which are not published.
   LocalServer(net::EventLoop& loop,
               DeclaredPredicate is_declared,
               ChangedHandler changed);
@@ -46,18 +46,19 @@
   // Binds the listener for announcements, drain requests and deregistrations.
   base::Result<bool> Listen(const base::SocketAddress& address);
 
-  // Stops new requests to the server until Undrain() was called for each source
-  // that drains it.
+  // Stops new requests to the server until Undrain() has been called for each
+  // source that drains it.
   void Drain(DrainSource source);
   void Undrain(DrainSource source);
 
   // Applies an announcement built by service discovery, unless the server has
   // already announced itself.
   void OnDiscovered(const ServerAnnouncement& found);
-  // The server answered a request or a probe.
+  // Called when the server has answered a request or a probe.
   void OnAnswer(base::Instant now) { presence_.OnAnswer(now); }
-  // The gate reports until when the given incarnation (`life`) of the server is
-  // cold. Ignored if that incarnation is not the current one.
+  // Called when the gate has found that incarnation `life` of the server is
+  // cold until `cold_until`. Ignored if that incarnation is not the current
+  // one.
   void OnColdReported(uint64_t life, base::Instant cold_until);
 
   const ServerState& state() const { return state_; }
--- a/src/libs/server/server_discovery.cc
+++ b/src/libs/server/server_discovery.cc
@@ -10,7 +10,7 @@
 // announcement interval, which is one or two seconds.
 constexpr std::chrono::milliseconds kProbeInterval(100);
 constexpr std::chrono::milliseconds kProbeTimeout(200);
-// By then the server has announced itself, or there is none.
+// After this many probes the server has announced itself, or there is none.
 constexpr int kMaxProbes = 20;
 
 }  // namespace
--- a/src/libs/server/server_incarnation_tracker.cc
+++ b/src/libs/server/server_incarnation_tracker.cc
@@ -8,8 +8,9 @@
 
 using std::chrono::milliseconds;
 
-// Ended incarnations of which stale messages may still arrive. Messages are
-// delayed by seconds at most, and a server restarts at most once a second.
+// Limit on the ended incarnations that are kept to detect their stale messages.
+// Messages are delayed by seconds at most, and a server restarts at most once a
+// second.
 constexpr size_t kMaxPastIncarnations = 16;
 constexpr milliseconds kUnknownStartTime(0);
 
--- a/src/libs/server/server_incarnation_tracker.h
+++ b/src/libs/server/server_incarnation_tracker.h
@@ -19,20 +19,20 @@
 class ServerIncarnationTracker {
  public:
   enum class Verdict {
-    kNewIncarnation,      // Of a new incarnation, which is now the current one.
-    kCurrentIncarnation,  // Of the current incarnation.
-    kStale,               // Of an ended incarnation, or out of order.
+    kNewIncarnation,      // From a new incarnation, now the current one.
+    kCurrentIncarnation,  // From the current incarnation.
+    kStale,               // From an ended incarnation, or out of order.
   };
 
-  // `is_overdue` says that the current incarnation's announcement is overdue,
-  // or that there is no current incarnation. Only then may an incarnation with
-  // an earlier start time replace it: the wall clock may have been set back
-  // before the server restarted.
+  // `is_overdue` is true if the current incarnation's announcement is overdue
+  // or there is no current incarnation. Only then may an incarnation with an
+  // earlier start time replace it: the wall clock may have been set back before
+  // the server restarted.
   Verdict OnAnnounced(const ServerAnnouncement& announcement, bool is_overdue);
 
-  // An incarnation was deregistered. `started_at` is zero if unknown; an empty
-  // `instance` means the current incarnation. Returns whether the deregistered
-  // incarnation was the current one.
+  // Called when an incarnation was deregistered. `started_at` is zero if
+  // unknown; an empty `instance` means the current incarnation. Returns whether
+  // the deregistered incarnation was the current one.
   bool OnLeft(const std::string& instance,
               std::chrono::milliseconds started_at);
 
--- a/src/libs/server/server_observer.h
+++ b/src/libs/server/server_observer.h
@@ -52,16 +52,15 @@
                  AnyServerProtocol protocol,
                  Outputs outputs);
 
-  // Takes over the server's state. `has_started` says that it is a new
-  // incarnation.
+  // Sets the server's state. `has_started` is true if it is a new incarnation.
   void SetServer(const ServerState& server, bool has_started);
-  // A request to the server has ended.
+  // Called when a request to the server has ended.
   void OnRequestResult(const RequestResult& request,
                        const net::HttpAnswer& answer,
                        base::Instant now);
-  // Starts a probe if the last response is too old to start a request on.
-  // Returns whether a probe is running, whose end is signalled by
-  // `probe_ended`.
+  // Starts a probe if the last response is so old that a request should wait
+  // for a new one. Returns whether a probe is running, whose end is signalled
+  // by `probe_ended`.
   bool ProbeIfStale(base::Instant now) { return prober_.ProbeIfStale(now); }
   // Call about every 10 ms.
   void Tick(base::Instant now);
@@ -73,8 +72,8 @@
   }
 
   const admission::ServerPerformance& pace() const { return pace_; }
-  // Another instance responded to a request meant for this one. Nothing is sent
-  // to the address until that instance announces itself.
+  // Whether another instance has responded to a request meant for this one.
+  // Nothing is sent to the address until that instance announces itself.
   bool is_replaced() const { return is_replaced_; }
   // Time of the last response to a request or a probe.
   base::Instant last_answer() const { return prober_.last_answer(); }
@@ -93,8 +92,8 @@
   void OnCurrentRequestResult(const RequestResult& request,
                               const net::HttpAnswer& answer,
                               base::Instant now);
-  // Starts a probe if interrupted requests leave it open whether the server has
-  // crashed.
+  // Starts a probe if requests were interrupted and it is not yet known whether
+  // the server has crashed.
   void ProbeIfInDoubt(base::Instant now);
   // Evaluates the load and cold state that a response reports.
   void UpdateFromHeaders(const net::HttpHeaders& headers, base::Instant now);
--- a/src/libs/server/server_prober.h
+++ b/src/libs/server/server_prober.h
@@ -21,8 +21,8 @@
 
 class ServerProber {
  public:
-  // Called with the result of each probe. A probe without a response has timed
-  // out.
+  // Called with the result of each probe, which is kTimedOut if no response
+  // arrived in time.
   using Handler =
       std::function<void(const net::TransferResult&, const ProbeStart&)>;
 
@@ -33,10 +33,10 @@
                Handler handler);
 
   void SetServer(const ServerState& server);
-  // The server answered a request.
+  // Called when the server has answered a request.
   void OnAnswer(base::Instant now);
-  // Starts a probe if the last response is too old to start a request on.
-  // Returns whether a probe is running.
+  // Starts a probe if the last response is so old that a request should wait
+  // for a new one. Returns whether a probe is running.
   bool ProbeIfStale(base::Instant now);
   // Starts a probe regardless of when one is due. Returns false if the server
   // has no health path, a probe is running or the budget is used up.
@@ -56,7 +56,7 @@
   admission::ProbeScheduler scheduler_;
   base::SocketAddress address_;
   std::string path_;
-  uint64_t life_ = 0;  // Of the server to probe.
+  uint64_t life_ = 0;  // Incarnation to probe.
   base::Instant last_answer_;
   std::function<void()> probe_sent_;
   Handler handler_;
--- a/src/libs/server/server_protocol.h
+++ b/src/libs/server/server_protocol.h
@@ -23,7 +23,7 @@
 enum class ServerVerdict {
   kAnswered,       // A response of the server, whatever its status.
   kShed,           // The server did not and will not run the request.
-  kOtherInstance,  // As kShed: another instance was expected.
+  kOtherInstance,  // Shed, because another instance was expected.
   kUnusable,       // Must not be forwarded; the request may have run.
 };
 
@@ -92,7 +92,7 @@
 
   // Returns the remaining cold time according to a health response. Zero if the
   // protocol always reports the cold state and this response does not, nothing
-  // if the response leaves it open.
+  // if the response does not report it.
   std::optional<base::Duration> ColdForFromHealthCheck(
       const net::HttpHeaders& headers) const {
     const auto cold_duration = cold_for(headers);
