--- a/src/libs/node/control_metrics.h
+++ b/src/libs/node/control_metrics.h
@@ -1,4 +1,4 @@
-// Metrics that are counted on the control thread.
+// Collects the metrics of the control thread.
 #ifndef NODE_CONTROL_METRICS_H_
 #define NODE_CONTROL_METRICS_H_
 
--- a/src/libs/node/control_plane.h
+++ b/src/libs/node/control_plane.h
@@ -37,14 +37,14 @@
 
 class ControlPlane {
  public:
-  // Publish state to the traffic threads. Called on the control thread; must
-  // not block.
+  // Functions that publish state to the traffic threads. They are called on the
+  // control thread and must not block.
   struct Outputs {
     std::function<void(ingress::TrafficSnapshot)> publish_snapshot;
     std::function<void(server::ServerState)> publish_server;
     std::function<void(const quarantine::SharedVerdicts&)> publish_verdicts;
-    // The nodes that serve this node's service. Published periodically, also if
-    // unchanged, as a view is valid for a limited time only.
+    // The nodes that serve this node's service. Published periodically even if
+    // unchanged, because a view is valid only for a limited time.
     std::function<void(std::vector<keys::OwnerNode>, base::Instant as_of)>
         publish_key_view;
   };
@@ -71,7 +71,7 @@
   void BeginStop() { stopping_ = true; }
   void Undrain(server::DrainSource source) { local_server_.Undrain(source); }
   void OnGateReport(const gate::GateReport& report);
-  // The local server has crashed.
+  // Called when the local server has crashed.
   void OnServerCrash(const quarantine::ServerCrash& crash) {
     quarantine_.OnServerCrash(crash);
   }
@@ -90,7 +90,8 @@
   operators::ManagedNode MakeManagedNode();
   bool IsReady() const;
   void SetDraining(bool draining);
-  // Executes the order, then reads the evacuations from the store again.
+  // Executes an operator's request, then reads the evacuations from the store
+  // again.
   void Evacuate(const evacuation_store::EvacuationRequest& order,
                 evacuation_store::EvacuationWriter::Handler handler);
   base::Result<bool> ListenForMetrics();
--- a/src/libs/node/node.cc
+++ b/src/libs/node/node.cc
@@ -29,8 +29,8 @@
 // threads and writing the log. At most 1/kStopMarginDivisor of the grace.
 constexpr std::chrono::milliseconds kStopMargin(700);
 constexpr int kStopMarginDivisor = 5;
-// The leave notice, during which others learn that this node stops, takes at
-// most 1/kNoticeDivisor of the remaining grace.
+// The leave notice, during which the other nodes are informed that this node
+// stops, takes at most 1/kNoticeDivisor of the remaining grace.
 constexpr int kNoticeDivisor = 2;
 // The local server is announced as draining this long before traffic ends, or
 // for half of the leave notice if that is shorter. Gossip takes less time than
--- a/src/libs/node/settings_watcher.h
+++ b/src/libs/node/settings_watcher.h
@@ -18,8 +18,7 @@
   // Called with the new settings if the file has changed and is valid.
   using Handler = std::function<void(const settings::NodeSettings&)>;
 
-  // `loop` must outlive this object. Watches nothing if `path`
-  // is empty.
+  // `loop` must outlive this object. Does nothing if `path` is empty.
   SettingsWatcher(net::EventLoop& loop, std::string path, Handler handler);
   ~SettingsWatcher();
 
