--- a/src/libs/fleet/evidence_store.cc
+++ b/src/libs/fleet/evidence_store.cc
@@ -12,8 +12,8 @@
 using quarantine::RequestEvidence;
 
 constexpr char kName[] = "quarantine";
-// The entry expires when the longest quarantine does. An entry for a longer
-// quarantine has been rewritten since, after a further crash.
+// The entry expires no earlier than the longest quarantine in it. If a further
+// crash extends a quarantine, the entry is written again.
 constexpr std::chrono::milliseconds kTimeToLive =
     quarantine::CrashLedger::kQuarantinePeriod;
 // The writers of the data centres list the entries at random times within this
--- a/src/libs/fleet/request_quarantine.h
+++ b/src/libs/fleet/request_quarantine.h
@@ -43,8 +43,8 @@
 
   // Must be set before any evidence is added.
   void OnAnnounce(AnnounceHandler announce) { announce_ = std::move(announce); }
-  // Sets the node names used in log lines. `members` are all members, including
-  // this node.
+  // Sets the names of nodes used in log lines. `members` are all members,
+  // including this node.
   void SetMembers(std::span<const membership::Member> members);
 
   // Called when this node's server has crashed.
@@ -67,8 +67,8 @@
   size_t CountOf(quarantine::Verdict verdict) const;
 
  private:
-  // Refutes all crashes known of the request and announces that. Returns
-  // whether any was known.
+  // Refutes all known crashes of the request and announces the refutations.
+  // Returns whether there were any.
   bool Refute(base::RequestFingerprint fingerprint, const std::string& why);
   void Tick();
   // Publishes the verdicts and logs each change. `why` is logged as the reason
@@ -79,8 +79,8 @@
   static void LogVerdictEnded(base::RequestFingerprint fingerprint,
                               const quarantine::VerdictUntil& verdict,
                               const std::string& why);
-  // Lists the crashes: node, life of its server, age, run time of the request,
-  // and "!" if it was the only suspect.
+  // Lists the crashes: node, incarnation number of its server, age, run time of
+  // the request, and "!" if it was the only suspect.
   std::string Describe(const quarantine::RequestEvidence& evidence) const;
 
   net::EventLoop& loop_;
