--- a/src/libs/evacuation/local_evacuations.h
+++ b/src/libs/evacuation/local_evacuations.h
@@ -12,12 +12,12 @@
 
 class LocalEvacuations {
  public:
-  // Applies what this node read from the store. Returns whether the evacuations
-  // have to be announced to the other nodes.
+  // Applies the evacuations that this node has read from the store. Returns
+  // whether the evacuations have to be announced to the other nodes.
   bool OnStoreRead(const Evacuations& read);
-  // Applies what a peer holds. Returns whether the evacuations have to be
-  // announced: they are new to this node, or the peer holds an older state than
-  // this node has read.
+  // Applies the evacuations reported by a peer. Returns whether the evacuations
+  // of this node have to be announced: they have changed, or the peer's are
+  // older than those that this node has read.
   bool OnPeerReport(const Evacuations& reported);
 
   const Evacuations& current() const { return current_; }
