--- a/src/libs/evacuation_store/evacuation_reader.cc
+++ b/src/libs/evacuation_store/evacuation_reader.cc
@@ -12,9 +12,8 @@
 using telemetry::Event;
 using telemetry::LogEvent;
 
-// Within this time a starting node usually learns about the fleet and, with
-// that, about evacuations. Only the readers among the nodes then read the
-// store.
+// Within this time a starting node usually receives the members and the
+// evacuations by gossip. Afterwards only the readers read the store.
 constexpr base::Duration kFirstReadDelay = std::chrono::seconds(1);
 
 DataCentres Sorted(DataCentres names) {
@@ -81,8 +80,8 @@
       return;
     }
     OnPage(page);
-    // Until a starting node knows the fleet it considers itself a reader, so
-    // the first read is not followed by a watch.
+    // A starting node has the role of a reader until it has received the
+    // members, so the first read is not followed by a watch.
     const bool is_settled = std::exchange(has_read_, true);
     if (is_settled && role_.is_reader() && page.value().as_of > 0 &&
         store_.CanWatch())
@@ -98,8 +97,8 @@
                          names ? Sorted(*names) : DataCentres()};
   const bool is_unreadable =
       !names || read.NameBytes() > Evacuations::kMaxNameBytes;
-  // The known evacuations are kept: one must not end because an entry is
-  // invalid.
+  // The last evacuations are kept: an evacuation must not end because an entry
+  // is invalid.
   if (!std::exchange(is_unreadable_, is_unreadable) && is_unreadable)
     LogEvent(Event::kStoreEntryUnreadable, {{"key", format_.prefix}});
   if (!is_unreadable)
--- a/src/libs/evacuation_store/evacuation_reader.h
+++ b/src/libs/evacuation_store/evacuation_reader.h
@@ -24,8 +24,8 @@
   using Handler = std::function<void(const evacuation::Evacuations&)>;
 
   // `loop` and `store` must outlive the reader. `max_read_interval` limits the
-  // delay between two reads while the store fails. `on_read` is called after
-  // each successful read.
+  // delay between two reads while the store fails. `read` is called after each
+  // read whose entries could be parsed.
   EvacuationReader(net::EventLoop& loop,
                    store::StoreClient& store,
                    AnyEvacuationFormat format,
