--- a/src/libs/store/store_call_counts.h
+++ b/src/libs/store/store_call_counts.h
@@ -17,9 +17,9 @@
 
 enum class CallResult {
   kAnswered,
-  kRefused,   // The store is over its rate limit or unavailable; nothing was
-              // done.
-  kNoAnswer,  // A write may have taken effect.
+  kRefused,   // Status 429 or higher: the store is over its rate limit or
+              // unavailable.
+  kNoAnswer,  // A write that was sent may have taken effect.
 };
 inline constexpr std::array kCallResults = {
     CallResult::kAnswered, CallResult::kRefused, CallResult::kNoAnswer};
--- a/src/libs/store/store_client.h
+++ b/src/libs/store/store_client.h
@@ -42,11 +42,12 @@
   void ListPrefix(const std::string& prefix,
                   Freshness freshness,
                   EntriesHandler handler);
-  // The same, never stale, and with the store's revision at the first page.
+  // Like ListPrefix(), but never stale, and with the store's revision at the
+  // first page.
   void ListPage(const std::string& prefix, PageHandler handler);
   // Reads the entry of `key`. The result is empty if there is none.
   void Read(const std::string& key, EntriesHandler handler);
-  // The same, with the store's revision.
+  // Like Read(), with the store's revision.
   void ReadPage(const std::string& key, PageHandler handler);
   // Writes `value` if the key's revision is `expected`; zero if the key must
   // not exist.
@@ -66,15 +67,15 @@
   // not, any number of nodes may request them at once.
   bool CountsStaleListings() const { return form_.counts_stale_listings; }
   // Waits up to `wait` for changes of keys that begin with `prefix` after the
-  // revision `after`. The result has none if nothing changed. Fails if there is
-  // no response within `wait` and `grace`.
+  // revision `after`. The result has no changes if nothing changed in that
+  // time. Fails if there is no response within `wait` and `grace`.
   void Watch(const std::string& prefix,
              int64_t after,
              std::chrono::milliseconds wait,
              std::chrono::milliseconds grace,
              ChangesHandler handler);
 
-  // Counts the calls that have ended.
+  // Returns the counts of the calls that have ended.
   const StoreCallCounts& calls() const { return calls_; }
 
  private:
