--- a/src/libs/duties/seed_duty.h
+++ b/src/libs/duties/seed_duty.h
@@ -1,5 +1,6 @@
 // Determines without messages which members maintain the seed entries of a data
-// centre in the store: the first in StoreDutyOrder() that can.
+// centre in the store: the first in StoreDutyOrder() for which CanDoStoreDuty()
+// is true.
 #ifndef DUTIES_SEED_DUTY_H_
 #define DUTIES_SEED_DUTY_H_
 
--- a/src/libs/duties/seed_search.h
+++ b/src/libs/duties/seed_search.h
@@ -3,8 +3,8 @@
 // pings its contacts. Does no I/O; random numbers are passed in.
 //
 // A listing that may be some seconds old is cheaper than a current one. Where
-// the store does not count it towards its rate limit, it needs no jitter. It is
-// the only kind of listing that a start beside a running fleet takes.
+// the store does not count it towards its rate limit, it needs no jitter, and a
+// node that joins a running fleet requests no other kind.
 #ifndef DUTIES_SEED_SEARCH_H_
 #define DUTIES_SEED_SEARCH_H_
 
@@ -34,8 +34,8 @@
   Listing NextListing(bool is_alone);
   // Returns the delay before the next listing.
   base::Duration NextDelay(bool is_alone, base::Random& random);
-  // Returns the delay after a stale listing without seeds, as the fleet may
-  // have started since.
+  // Returns the delay before the next listing if a listing that may be stale
+  // had no seeds: the fleet may have started since.
   base::Duration DelayAfterEmptyListing(base::Random& random) const;
 
   // Restarts the ping intervals, as there are new contacts.
--- a/src/libs/duties/store_duty.h
+++ b/src/libs/duties/store_duty.h
@@ -1,5 +1,5 @@
-// Determines which members perform the duties at the platform's store that a
-// few nodes perform for all.
+// Determines which few members read and write the platform's store on behalf of
+// all.
 #ifndef DUTIES_STORE_DUTY_H_
 #define DUTIES_STORE_DUTY_H_
 
