--- a/src/libs/operators/managed_node.h
+++ b/src/libs/operators/managed_node.h
@@ -27,10 +27,10 @@
   MetricsApi& metrics;
   // Whether callers should send requests to this node.
   std::function<bool()> is_ready;
-  // Starts or ends a drain on behalf of an operator. It lasts until it is
-  // ended.
+  // Starts or ends a drain on behalf of an operator. The drain lasts until it
+  // is ended by the same function.
   std::function<void(bool draining)> set_draining;
-  // Executes an operator's order.
+  // Executes an operator's evacuation request.
   std::function<void(const evacuation_store::EvacuationRequest& order,
                      evacuation_store::EvacuationWriter::Handler handler)>
       evacuate;
--- a/src/libs/operators/operator_api.cc
+++ b/src/libs/operators/operator_api.cc
@@ -21,8 +21,8 @@
 
 void OperatorApi::OnRequest(const net::HttpRequest& request, net::Reply reply) {
   const std::string call = request.method + " " + request.target;
-  // Needs no token: used as a readiness check by whatever directs callers to
-  // nodes.
+  // Needs no token: it is the readiness check of the systems that direct
+  // callers to nodes.
   if (call == "GET /v1/ready") {
     HandleReady(node_, std::move(reply));
     return;
--- a/src/libs/operators/operator_revisions.cc
+++ b/src/libs/operators/operator_revisions.cc
@@ -54,8 +54,8 @@
 
   void StartCall(const Member& member) {
     ++calls_in_flight_;
-    // With the greatest possible revision as the one held here, the response
-    // contains no documents.
+    // Requests what is newer than the greatest possible revision, so that the
+    // response contains no documents.
     const FetchRequest request{UINT64_MAX};
     caller_.Call(
         member.control_address, configuration::kFetchMethod, request.ToJson(),
