--- a/src/libs/declarations/service_declaration.h
+++ b/src/libs/declarations/service_declaration.h
@@ -42,7 +42,7 @@
   std::vector<RepeatableRule> repeatable;
   std::vector<std::string> regions;  // Where requests may run; any if empty.
   base::Duration deadline =
-      std::chrono::seconds(10);  // Of a request that has none.
+      std::chrono::seconds(10);  // Of a request without a deadline.
   base::Duration longest_deadline = std::chrono::seconds(60);
   double retry_budget = 0.1;  // Retries, as a share of all requests.
   double hedge_budget = 0.02;
@@ -51,8 +51,8 @@
   double probe_budget = 0.005;  // Share of server time for probes.
   base::Duration drain_grace = std::chrono::seconds(30);
   base::Duration cold_start = std::chrono::seconds(10);
-  // Requests a second that a cold server tolerates; zero if as many as a warm
-  // one.
+  // Requests per second that a cold server tolerates; zero if their rate is not
+  // limited.
   double cold_rate = 0;
   KeyRecordLocation key_record = KeyRecordLocation::kOwner;
   // Path at which a server reports its health; if empty, it reports its health
@@ -70,7 +70,7 @@
   // Largest share of its slots that a server is given, because some servers
   // slow down when they are nearly full.
   double usable_slots = 1;
-  int max_connections = 0;  // That a server accepts; zero if unknown.
+  int max_connections = 0;  // Accepted by a server; zero if unknown.
   std::vector<ClassDeclaration> classes;
   std::vector<TenantDeclaration>
       tenants;  // If empty, any tenant, with equal shares.
