--- a/src/libs/quarantine/crash_ledger.h
+++ b/src/libs/quarantine/crash_ledger.h
@@ -60,7 +60,7 @@
   // exchange them for ever.
   static constexpr size_t kMaxCrashesPerRequest = 8;
   static constexpr size_t kMaxRecentCrashes = 1024;
-  // Requests in one reply to a node that asks for all evidence: about 40 kB.
+  // Limit on the requests in one response to a pull: about 40 kB.
   static constexpr size_t kMaxSharedRequests = 512;
 
   // Records a crash of this node's server. Returns the evidence now held on
