--- a/src/libs/membership/gossip_probing.cc
+++ b/src/libs/membership/gossip_probing.cc
@@ -132,8 +132,8 @@
   if (absent->state == MemberState::kLeft && table_.IsAddressInUse(address))
     return;
   // No ack is awaited. If the member is reachable, it refutes the claim that it
-  // is gone. If another node has taken its address, that node answers and so
-  // becomes known; it may not know any member yet, so the ping carries the
+  // is gone. If another node has taken its address, that node answers and is
+  // added by its answer; it may have no members yet, so the ping carries the
   // record of this node.
   GossipMessage ping = MakeMessage(MessageType::kPing, absent->id);
   ping.sequence = ++last_sequence_;
