--- a/src/libs/configuration/read_timing.h
+++ b/src/libs/configuration/read_timing.h
@@ -10,8 +10,8 @@
 // Interval between two reads by one reader in normal operation. Together with
 // kReadersPerDataCentre it bounds the fleet's calls regardless of its size.
 inline constexpr base::Duration kReadInterval = std::chrono::seconds(1);
-// Longest interval of a reader whose reads fail, and of a node that knows no
-// other node: 3000 such nodes must not make 3000 calls a second.
+// Longest interval of a reader whose reads fail, and of a node without known
+// peers: 3000 such nodes must not make 3000 calls a second.
 inline constexpr base::Duration kMaxReadInterval = std::chrono::seconds(15);
 // Nominal interval between two retries in the whole fleet, by all nodes
 // together that have lost the store. It leaves capacity for other clients when
