--- a/src/libs/server/native_server_protocol.h
+++ b/src/libs/server/native_server_protocol.h
@@ -7,8 +7,8 @@
 
 namespace chestnutport::server {
 
-// A server sheds a request by a 503 whose outcome header says that the request
-// was not run. A 503 without that header is an ordinary response.
+// A server sheds a request by a 503 whose outcome header states that the
+// request was not run. A 503 without that header is an ordinary response.
 class NativeServerProtocol {
  public:
   void Prepare(net::HttpRequest& request, const ForwardingInfo& info) const;
