--- a/src/libs/operators/operator_handlers.h
+++ b/src/libs/operators/operator_handlers.h
@@ -28,7 +28,7 @@
 // that callers may send requests to it; otherwise 503.
 void HandleReady(const ManagedNode& node, net::Reply reply);
 
-// GET /v1/status: this node and the members that it knows.
+// GET /v1/status: this node and the members known to it.
 void HandleStatus(const ManagedNode& node, net::Reply reply);
 
 // GET /v1/revisions: queries every member that is not gone for the
