--- a/src/libs/evacuation/local_evacuations.cc
+++ b/src/libs/evacuation/local_evacuations.cc
@@ -21,7 +21,7 @@
     current_ = reported;
     return true;
   }
-  // The peer holds evacuations that ended before this node read the store.
+  // The peer's evacuations are older than this node's last read of the store.
   current_.as_of = store_read_as_of_;
   return true;
 }
--- a/src/libs/evacuation/local_evacuations.h
+++ b/src/libs/evacuation/local_evacuations.h
@@ -16,8 +16,8 @@
   // whether the evacuations have to be announced to the other nodes.
   bool OnStoreRead(const Evacuations& read);
   // Applies the evacuations reported by a peer. Returns whether the evacuations
-  // of this node have to be announced: they have changed, or the peer's are
-  // older than those that this node has read.
+  // of this node have to be announced: the peer's are newer than those of this
+  // node, or older than those that this node has read from the store.
   bool OnPeerReport(const Evacuations& reported);
 
   const Evacuations& current() const { return current_; }
