--- a/tests/auto/quarantine/crash_ledger_test.cc
+++ b/tests/auto/quarantine/crash_ledger_test.cc
@@ -22,7 +22,7 @@
 constexpr RequestFingerprint kPoison{1};
 constexpr RequestFingerprint kInnocent{2};
 
-// Returns a crash of the server beside `node` in its life `life`.
+// Returns a crash of incarnation `life` of the server beside `node`.
 ServerCrash Crash(uint64_t node,
                   uint32_t life,
                   const std::vector<RequestFingerprint>& running,
@@ -93,9 +93,10 @@
 }
 
 TEST_CASE("a long-running request while servers crash for other reasons") {
-  // Each of seven servers crashes every ten seconds for two minutes, whatever
-  // it runs. An export of ten seconds is running at each crash of its server,
-  // is retried and is running again when the next server crashes.
+  // Each of seven servers crashes every ten seconds for two minutes, regardless
+  // of the requests that it runs. An export of ten seconds is running at each
+  // crash of its server, is retried and is running again when the next server
+  // crashes.
   constexpr RequestFingerprint kExport{3};
   CrashLedger ledger;
   uint64_t other = 100;
--- a/tests/auto/quarantine/crash_simulation.cc
+++ b/tests/auto/quarantine/crash_simulation.cc
@@ -15,7 +15,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Limits on the servers that may run a call, and on the nodes that it is sent
+// Limits on the servers that may run one call, and on the nodes that it is sent
 // to.
 constexpr int kMaxServersPerCall = 3;
 constexpr int kMaxSendsPerCall = 10;
@@ -157,8 +157,8 @@
         ingress::FindKeyOwner(call.fingerprint.value, candidates);
     return *std::ranges::find(up, owner->node, &Server::node);
   }
-  // The server with the fewest running requests, as the chooser does for
-  // servers of equal speed.
+  // The server with the fewest running requests, as routing::ServerChooser
+  // selects among servers of equal speed.
   return *std::ranges::min_element(
       up, {}, [](const Server* server) { return server->running.size(); });
 }
--- a/tests/auto/quarantine/crash_simulation.h
+++ b/tests/auto/quarantine/crash_simulation.h
@@ -1,5 +1,5 @@
-// Simulates crashing servers and retrying callers around the verdicts and the
-// filters of the product, in one process and in virtual time.
+// Simulates crashing servers and retrying callers, with the product's
+// CrashLedger and QuarantineFilter, in one process and in virtual time.
 #ifndef QUARANTINE_CRASH_SIMULATION_H_
 #define QUARANTINE_CRASH_SIMULATION_H_
 
@@ -37,8 +37,8 @@
   base::Duration mass_crash_interval{};
   double mass_crash_share = 0;
   base::Duration restart_time = std::chrono::seconds(3);
-  // Time until all nodes know what one has observed, measured in fleets of 30
-  // to 3,000 nodes.
+  // Time until the observation of one node has reached all nodes, measured in
+  // fleets of 30 to 3,000 nodes.
   base::Duration propagation_delay = std::chrono::milliseconds(200);
   // Requests that crash each server that runs them, and how often each is sent.
   size_t poison_requests = 0;
@@ -56,8 +56,8 @@
   size_t false_rejections =
       0;  // Calls of such requests that a verdict rejected.
   size_t false_suspects = 0;
-  // Crashes by each poison request, and those of them later than three seconds
-  // after the third.
+  // Number of crashes caused by each poison request, and number of those that
+  // came later than three seconds after its third crash.
   std::vector<size_t> crashes_by_poison;
   std::vector<size_t> late_crashes_by_poison;
   size_t quarantined_poison = 0;
@@ -110,7 +110,7 @@
   void StartCall(Call call);
   void Send(uint64_t id);
   Server* ChooseServer(const Call& call);
-  // Whether two crashes with the request are known to the sending node.
+  // Whether the sending node has recorded two crashes with the request.
   bool IsSuspect(const Call& call) const;
   void StartAttempt(uint64_t id, Server& server);
   void OnRunFinished(size_t server, uint32_t life, uint64_t attempt);
--- a/tests/auto/quarantine/ending_world_test.cc
+++ b/tests/auto/quarantine/ending_world_test.cc
@@ -15,7 +15,8 @@
 using std::chrono::seconds;
 
 constexpr uint64_t kSeedCount = 30;
-// At most three further crashes once the third is known to all nodes.
+// Limit on the crashes by one request after all nodes have received the
+// evidence of its third.
 constexpr size_t kMaxLateCrashes = 3;
 
 struct Sum {
--- a/tests/auto/quarantine/gate_guard_test.cc
+++ b/tests/auto/quarantine/gate_guard_test.cc
@@ -15,48 +15,50 @@
 
 constexpr Instant kStart{std::chrono::hours(1)};
 constexpr RequestFingerprint kSuspect{1};
-constexpr RequestFingerprint kHeld{2};
+constexpr RequestFingerprint kQuarantinedRequest{2};
 constexpr RequestFingerprint kOther{3};
 
 SharedVerdicts SomeVerdicts() {
   auto verdicts = std::make_shared<Verdicts>();
   verdicts->Set(kSuspect, {Verdict::kSuspected, {}});
   verdicts->Set({4}, {Verdict::kSuspected, {}});
-  verdicts->Set(kHeld, {Verdict::kQuarantined, kStart + seconds(60)});
+  verdicts->Set(kQuarantinedRequest,
+                {Verdict::kQuarantined, kStart + seconds(60)});
   return verdicts;
 }
 
 TEST_CASE("requests are filtered by verdict") {
-  QuarantineFilter guard;
-  guard.SetVerdicts(SomeVerdicts(), 1, kStart);
+  QuarantineFilter filter;
+  filter.SetVerdicts(SomeVerdicts(), 1, kStart);
 
   SECTION("a request without a verdict is admitted") {
-    CHECK_FALSE(guard.Judge({kOther}, kStart));
+    CHECK_FALSE(filter.Judge({kOther}, kStart));
   }
 
   SECTION("a quarantined request is rejected until its quarantine ends") {
-    const auto refusal = guard.Judge({kHeld}, kStart + seconds(10));
-    REQUIRE(refusal);
-    CHECK(refusal->error == ErrorKind::kRequestQuarantined);
-    CHECK(refusal->retry_after == seconds(50));
+    const auto rejection =
+        filter.Judge({kQuarantinedRequest}, kStart + seconds(10));
+    REQUIRE(rejection);
+    CHECK(rejection->error == ErrorKind::kRequestQuarantined);
+    CHECK(rejection->retry_after == seconds(50));
   }
 
   SECTION("one suspect runs at a time") {
-    CHECK_FALSE(guard.Judge({kSuspect}, kStart));
-    guard.OnStarted({1, 1}, {kSuspect});
-    CHECK(guard.Judge({{4}}, kStart)->error == ErrorKind::kRequestSuspected);
-    CHECK(guard.Judge({kSuspect}, kStart));
-    CHECK_FALSE(guard.Judge({kOther}, kStart));
+    CHECK_FALSE(filter.Judge({kSuspect}, kStart));
+    filter.OnStarted({1, 1}, {kSuspect});
+    CHECK(filter.Judge({{4}}, kStart)->error == ErrorKind::kRequestSuspected);
+    CHECK(filter.Judge({kSuspect}, kStart));
+    CHECK_FALSE(filter.Judge({kOther}, kStart));
     SECTION("and the next one once its attempt is over, answered or not") {
-      guard.OnEnded({1, 1}, kSuspect, std::nullopt, kStart);
-      CHECK_FALSE(guard.Judge({{4}}, kStart));
+      filter.OnEnded({1, 1}, kSuspect, std::nullopt, kStart);
+      CHECK_FALSE(filter.Judge({{4}}, kStart));
     }
   }
 
   SECTION("a request that the sending node marks as a suspect is one") {
-    guard.OnStarted({1, 1}, {kOther, true});
-    CHECK(guard.Judge({{4}}, kStart));
-    CHECK(guard.Judge({{5}, true}, kStart));
+    filter.OnStarted({1, 1}, {kOther, true});
+    CHECK(filter.Judge({{4}}, kStart));
+    CHECK(filter.Judge({{5}, true}, kStart));
   }
 
   SECTION("a request that started before its verdict is a suspect") {
@@ -75,14 +77,14 @@
   }
 
   SECTION("only answers to suspects are reported") {
-    CHECK(guard.OnEnded({1, 1}, kSuspect, 1, kStart));
-    CHECK_FALSE(guard.OnEnded({1, 2}, kOther, 1, kStart));
-    CHECK_FALSE(guard.OnEnded({1, 3}, kSuspect, std::nullopt, kStart));
+    CHECK(filter.OnEnded({1, 1}, kSuspect, 1, kStart));
+    CHECK_FALSE(filter.OnEnded({1, 2}, kOther, 1, kStart));
+    CHECK_FALSE(filter.OnEnded({1, 3}, kSuspect, std::nullopt, kStart));
   }
 }
 
 TEST_CASE("a crash is attributed to running requests") {
-  QuarantineFilter guard;
+  QuarantineFilter filter;
   const std::vector<RunningRequest> running = {{kOther, milliseconds(90)},
                                                {kSuspect, milliseconds(20)},
                                                {kOther, milliseconds(40)},
@@ -90,26 +92,26 @@
 
   SECTION("to all of them, each once") {
     const auto attributed =
-        guard.AttributeCrash({{9}, 1}, running, kStart).running;
+        filter.AttributeCrash({{9}, 1}, running, kStart).running;
     REQUIRE(attributed.size() == 3);
     CHECK(attributed[1].fingerprint == kOther);
     CHECK(attributed[1].run_time == milliseconds(40));
   }
 
   SECTION("without those that the server recently answered in this life") {
-    guard.OnEnded({1, 1}, kOther, 1, kStart - seconds(5));
-    CHECK(guard.AttributeCrash({{9}, 1}, running, kStart).running.size() == 2);
-    CHECK(guard.AttributeCrash({{9}, 2}, running, kStart).running.size() == 3);
-    CHECK(guard.AttributeCrash({{9}, 1}, running, kStart + seconds(60))
+    filter.OnEnded({1, 1}, kOther, 1, kStart - seconds(5));
+    CHECK(filter.AttributeCrash({{9}, 1}, running, kStart).running.size() == 2);
+    CHECK(filter.AttributeCrash({{9}, 2}, running, kStart).running.size() == 3);
+    CHECK(filter.AttributeCrash({{9}, 1}, running, kStart + seconds(60))
               .running.size() == 3);
   }
 
   SECTION("with suspects first, whatever their run time") {
-    guard.SetVerdicts(SomeVerdicts(), 1, kStart);
+    filter.SetVerdicts(SomeVerdicts(), 1, kStart);
     std::vector<RunningRequest> more = running;
     more.push_back({{6}, seconds(9), true});
     const auto attributed =
-        guard.AttributeCrash({{9}, 1}, more, kStart).running;
+        filter.AttributeCrash({{9}, 1}, more, kStart).running;
     REQUIRE(attributed.size() == 4);
     CHECK(attributed[0].fingerprint == kSuspect);
     CHECK(attributed[0].is_suspect);
@@ -122,7 +124,7 @@
     for (uint64_t i = 1; i <= 1000; ++i)
       many.push_back({{i}, milliseconds(i)});
     const auto attributed =
-        guard.AttributeCrash({{9}, 1}, many, kStart).running;
+        filter.AttributeCrash({{9}, 1}, many, kStart).running;
     REQUIRE(attributed.size() == QuarantineFilter::kMaxAttributedRequests);
     CHECK(attributed.back().run_time ==
           milliseconds(QuarantineFilter::kMaxAttributedRequests));
