--- a/tests/auto/membership/evidence_spread_test.cc
+++ b/tests/auto/membership/evidence_spread_test.cc
@@ -1,5 +1,5 @@
-// How soon all nodes know that a request is quarantined, what that costs them,
-// and what nodes that were absent learn.
+// How soon a request is quarantined on all nodes, what that costs them in
+// traffic, and whether nodes that were absent receive the evidence.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -20,8 +20,8 @@
 constexpr double kIdleBytes = 1000;
 constexpr double kEvidenceBytes = 2000;
 constexpr double kEvidenceBurst = 20000;
-// Time in which all nodes have to know the third crash; crashes after that
-// count against the aim.
+// Time within which the evidence of the third crash has to reach all nodes;
+// crashes by the request after that are late.
 constexpr seconds kPropagationTime(3);
 
 Verdict VerdictAt(test::GossipFleet& fleet, size_t slot) {
--- a/tests/auto/membership/gossip_fleet_test.cc
+++ b/tests/auto/membership/gossip_fleet_test.cc
@@ -166,16 +166,16 @@
 
 TEST_CASE("two members of each data centre write its seed entries") {
   GossipFleet fleet({.members = 60});
-  std::multiset<std::string> keepers;
+  std::multiset<std::string> maintainers;
   for (size_t slot = 0; slot < fleet.size(); ++slot) {
     const auto members = fleet.gossip(slot).Members();
     if (const auto duty = duties::SeedDuty(fleet.member(slot), members))
-      keepers.insert(fleet.member(slot).data_centre + "/" +
-                     std::to_string(*duty));
+      maintainers.insert(fleet.member(slot).data_centre + "/" +
+                         std::to_string(*duty));
   }
-  CHECK(keepers.size() == duties::kSeedsPerDataCentre * 14);
-  CHECK(std::set<std::string>(keepers.begin(), keepers.end()).size() ==
-        keepers.size());
+  CHECK(maintainers.size() == duties::kSeedsPerDataCentre * 14);
+  CHECK(std::set<std::string>(maintainers.begin(), maintainers.end()).size() ==
+        maintainers.size());
 
   SECTION("others take over from members that have lost the store") {
     const auto before = fleet.gossip(0).Members();
--- a/tests/auto/membership/mass_start_test.cc
+++ b/tests/auto/membership/mass_start_test.cc
@@ -1,5 +1,5 @@
 // Recovery of a fleet after all VMs lost power together. Callers send requests
-// from the start, so a node that knows few servers in the first second
+// from the start, so a node with few known servers in the first second
 // overloads them.
 #include <catch2/catch.hpp>
 
@@ -14,7 +14,7 @@
 constexpr size_t kSeeds = 10;  // Two in each of five data centres.
 constexpr milliseconds kStartsWithin(300);
 
-// Returns the mean share of all members that a node knows.
+// Returns the mean share of all members that are known to a node.
 double KnownShare(test::GossipFleet& fleet) {
   double known = 0;
   for (size_t slot = 0; slot < kMembers; ++slot)
@@ -27,7 +27,8 @@
     fleet.Kill(slot);
   const base::Duration step = base::Duration(kStartsWithin) / kMembers;
   for (size_t slot = 0; slot < kMembers; ++slot) {
-    // Nodes know the seeds from before; the seeds start like the others.
+    // The seeds are known from the time before; they start like the other
+    // nodes.
     const size_t known = std::max<size_t>(1, std::min(kSeeds, slot));
     fleet.Start(slot, (slot * 31 + 7) % known);
     fleet.ContactSeed(slot, (slot * 17 + 3) % known);
--- a/tests/auto/membership/record_pull_test.cc
+++ b/tests/auto/membership/record_pull_test.cc
@@ -1,4 +1,4 @@
-// Which members a node asks for records that it lacks.
+// Which members a node requests missing records from.
 #include <catch2/catch.hpp>
 #include <set>
 #include <string>
@@ -28,7 +28,7 @@
 }
 
 TEST_CASE("a record that the responder lacks as well") {
-  const Member asked = MakeMember(2);
+  const Member responder = MakeMember(2);
   RecordCache records;
   quarantine::CrashLedger ledger;
   Gossip gossip(MakeMember(1), {}, DatagramAuthenticator("fleet", "key", ""),
@@ -36,8 +36,8 @@
   MemberUpdate unknown = MakeUpdate(MakeMember(9));
   unknown.record.clear();
   const PullResponse view{
-      .sender = asked.id,
-      .members = {MakeUpdate(asked), MakeUpdate(MakeMember(3)),
+      .sender = responder.id,
+      .members = {MakeUpdate(responder), MakeUpdate(MakeMember(3)),
                   MakeUpdate(MakeMember(4)), unknown}};
   GossipOutput output;
   gossip.OnPullResponse(kStart, view.Encode(), output);
@@ -49,10 +49,10 @@
     for (int i = 0; i < 40; ++i, now += std::chrono::milliseconds(100)) {
       for (const OutgoingPull& pull : output.pulls)
         to.insert(pull.control_address.ToString());
-      const bool was_asked = !output.pulls.empty();
+      const bool was_requested = !output.pulls.empty();
       output = {};
-      if (was_asked) {
-        const PullResponse nothing{.sender = asked.id};
+      if (was_requested) {
+        const PullResponse nothing{.sender = responder.id};
         gossip.OnPullResponse(now, nothing.Encode(), output);
       }
       gossip.Run(now, output);
