--- a/tests/auto/configuration/fetch_plan_test.cc
+++ b/tests/auto/configuration/fetch_plan_test.cc
@@ -24,7 +24,8 @@
 }
 
 // Measures in virtual time how long one node takes to fetch a revision that all
-// peers hold, if some of them are unresponsive and not yet known to be.
+// peers hold, if some of them are unresponsive and have not been removed from
+// the members yet.
 class UnresponsiveFleet {
  public:
   UnresponsiveFleet(size_t nodes, double unresponsive_share, int seed)
--- a/tests/auto/configuration/fleet_contact_test.cc
+++ b/tests/auto/configuration/fleet_contact_test.cc
@@ -1,4 +1,4 @@
-// When a node considers itself isolated from all others.
+// When a node is detected to be isolated from all others.
 #include "configuration/isolation_detector.h"
 
 #include <catch2/catch.hpp>
--- a/tests/auto/configuration/reader_test.cc
+++ b/tests/auto/configuration/reader_test.cc
@@ -1,5 +1,5 @@
 // Which nodes read the store, and how often. Guards against calls that grow
-// with the fleet, and against changes that are noticed too late when readers
+// with the fleet, and against changes that are detected too late when readers
 // lose the store.
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -77,10 +77,10 @@
 
 TEST_CASE("the simultaneous loss of all watches is detected in time") {
   constexpr int kTrials = 100;
-  // Of the two seconds within which a change has to be in force. The rest is
-  // left for the read and for the distribution to the other nodes.
+  // Part of the two seconds within which a change has to be in force. The rest
+  // is left for the read and for the distribution to the other nodes.
   constexpr std::chrono::milliseconds kMaxForConfigurations(1500);
-  // Of five seconds.
+  // Part of the five seconds within which an evacuation has to be in force.
   constexpr std::chrono::milliseconds kMaxForEvacuations(3000);
   base::Random random(1);
   for (const size_t nodes : {1, 2, 3, 11, 28, 300}) {
