--- a/src/libs/server/local_server.h
+++ b/src/libs/server/local_server.h
@@ -37,7 +37,9 @@
   using DeclaredPredicate = std::function<bool(const std::string& service)>;
 
   // `loop` must outlive this object. `changed` is called after each change of
-  // state(), except for small shifts of `cold_until`, which are not published.
+  // state() that has to be published. Small shifts of `cold_until` in
+  // announcements are not published, nor are reports of the gate that do not
+  // change whether the server is cold.
   LocalServer(net::EventLoop& loop,
               DeclaredPredicate is_declared,
               ChangedHandler changed);
