--- a/src/libs/operators/operator_evacuation.cc
+++ b/src/libs/operators/operator_evacuation.cc
@@ -19,16 +19,18 @@
 
 // Returns nothing if the body is malformed. The plan id is empty if the body
 // has none.
-std::optional<EvacuationRequest> ReadOrder(const std::string& body) {
+std::optional<EvacuationRequest> ParseEvacuationRequest(
+    const std::string& body) {
   const json object = json::parse(body, nullptr, false);
   if (!object.is_object())
     return std::nullopt;
   try {
-    EvacuationRequest order;
-    order.change.data_centre = object.at("data_centre").get<std::string>();
-    order.change.is_evacuated = object.at("evacuated").get<bool>();
-    order.plan_id = object.value("plan", "");
-    return order;
+    EvacuationRequest evacuation_request;
+    evacuation_request.change.data_centre =
+        object.at("data_centre").get<std::string>();
+    evacuation_request.change.is_evacuated = object.at("evacuated").get<bool>();
+    evacuation_request.plan_id = object.value("plan", "");
+    return evacuation_request;
   } catch (const json::exception&) {
     return std::nullopt;
   }
@@ -41,8 +43,8 @@
                              });
 }
 
-// Returns the number of servers per service that would accept requests if the
-// data centres in `evacuated` were evacuated.
+// Returns the number of servers per service outside of the data centres in
+// `evacuated`, without those whose node is gone. Draining servers are counted.
 std::map<std::string, int> CountServers(
     const ManagedNode& node,
     const evacuation_store::DataCentres& evacuated) {
@@ -62,16 +64,16 @@
 void SendPlan(const ManagedNode& node,
               const EvacuationChange& change,
               net::Reply& reply) {
-  const auto& now = node.evacuations.data_centres;
-  const auto before = CountServers(node, now);
-  const auto after = CountServers(node, change.Apply(now));
+  const auto& current = node.evacuations.data_centres;
+  const auto before = CountServers(node, current);
+  const auto after = CountServers(node, change.Apply(current));
   json services = json::array();
   for (const auto& [service, servers] : before) {
     services.push_back({{"service", service},
                         {"servers", servers},
                         {"servers_after", after.at(service)}});
   }
-  SendJson(reply, {{"plan", change.PlanId(now)},
+  SendJson(reply, {{"plan", change.PlanId(current)},
                    {"data_centre", change.data_centre},
                    {"evacuated", change.is_evacuated},
                    {"services", services}});
@@ -87,39 +89,39 @@
                     const net::HttpRequest& request,
                     const std::string& operator_name,
                     net::Reply reply) {
-  const auto order = ReadOrder(request.body);
-  if (!order) {
+  const auto evacuation_request = ParseEvacuationRequest(request.body);
+  if (!evacuation_request) {
     SendError(reply, ErrorKind::kMalformedRequest,
               {{"accepted",
                 "{\"data_centre\": name, \"evacuated\": true or false, "
                 "\"plan\": of the answer without it}"}});
     return;
   }
-  const EvacuationChange& change = order->change;
+  const EvacuationChange& change = evacuation_request->change;
   if (change.is_evacuated && !HasMembers(node, change.data_centre)) {
     SendError(reply, ErrorKind::kNotFound,
               {{"data_centre", change.data_centre}});
     return;
   }
-  if (order->plan_id.empty()) {
+  if (evacuation_request->plan_id.empty()) {
     SendPlan(node, change, reply);
     return;
   }
   // std::function requires a copyable callable; net::Reply is move-only.
   auto shared_reply = std::make_shared<net::Reply>(std::move(reply));
-  node.evacuate(
-      *order, [shared_reply, change, operator_name](const auto& result) {
-        if (!result) {
-          SendError(*shared_reply, base::KindOf(result.error()),
-                    {{"data_centre", change.data_centre}});
-          return;
-        }
-        telemetry::LogEvent(telemetry::Event::kEvacuationConfirmed,
-                            {{"data_centre", change.data_centre},
-                             {"evacuated", change.is_evacuated ? "yes" : "no"},
-                             {"by", operator_name}});
-        SendJson(*shared_reply, {{"data_centres", result.value()}});
-      });
+  node.evacuate(*evacuation_request, [shared_reply, change,
+                                      operator_name](const auto& result) {
+    if (!result) {
+      SendError(*shared_reply, base::KindOf(result.error()),
+                {{"data_centre", change.data_centre}});
+      return;
+    }
+    telemetry::LogEvent(telemetry::Event::kEvacuationConfirmed,
+                        {{"data_centre", change.data_centre},
+                         {"evacuated", change.is_evacuated ? "yes" : "no"},
+                         {"by", operator_name}});
+    SendJson(*shared_reply, {{"data_centres", result.value()}});
+  });
 }
 
 }  // namespace chestnutport::operators
--- a/src/libs/operators/operator_quarantine.cc
+++ b/src/libs/operators/operator_quarantine.cc
@@ -19,19 +19,20 @@
 }
 
 json ToJson(const fleet::RequestQuarantine& quarantine,
-            const fleet::RequestWithVerdict& held,
+            const fleet::RequestWithVerdict& request,
             base::Instant now) {
   json crashes = json::array();
-  for (const quarantine::CrashObservation& mark : held.evidence.crashes) {
-    crashes.push_back({{"node", quarantine.NameOf(mark.crash.node)},
-                       {"life", mark.crash.life},
-                       {"ago", FormatRounded(now - mark.at)},
-                       {"ran", FormatRounded(mark.run_time)},
-                       {"alone", mark.is_sole_suspect}});
+  for (const quarantine::CrashObservation& observation :
+       request.evidence.crashes) {
+    crashes.push_back({{"node", quarantine.NameOf(observation.crash.node)},
+                       {"life", observation.crash.life},
+                       {"ago", FormatRounded(now - observation.at)},
+                       {"ran", FormatRounded(observation.run_time)},
+                       {"alone", observation.is_sole_suspect}});
   }
-  return {{"fingerprint", held.evidence.fingerprint.ToString()},
-          {"verdict", std::string(ToString(held.verdict.verdict))},
-          {"for", FormatRounded(held.verdict.until - now)},
+  return {{"fingerprint", request.evidence.fingerprint.ToString()},
+          {"verdict", std::string(ToString(request.verdict.verdict))},
+          {"for", FormatRounded(request.verdict.until - now)},
           {"ends", crashes}};
 }
 
@@ -50,8 +51,9 @@
 void HandleQuarantine(const ManagedNode& node, net::Reply reply) {
   const fleet::RequestQuarantine& quarantine = node.quarantine;
   json requests = json::array();
-  for (const fleet::RequestWithVerdict& held : quarantine.RequestsWithVerdict())
-    requests.push_back(ToJson(quarantine, held, base::Clock::now()));
+  for (const fleet::RequestWithVerdict& request :
+       quarantine.RequestsWithVerdict())
+    requests.push_back(ToJson(quarantine, request, base::Clock::now()));
   SendJson(reply, {{"requests", requests}});
 }
 
