--- a/src/libs/fleet/evidence_store.cc
+++ b/src/libs/fleet/evidence_store.cc
@@ -22,10 +22,10 @@
 constexpr std::chrono::milliseconds kWriteJitter(1000);
 
 std::vector<RequestEvidence> EvidenceOf(
-    const std::vector<RequestWithVerdict>& held) {
+    const std::vector<RequestWithVerdict>& requests) {
   std::vector<RequestEvidence> all;
-  all.reserve(held.size());
-  for (const RequestWithVerdict& request : held)
+  all.reserve(requests.size());
+  for (const RequestWithVerdict& request : requests)
     all.push_back(request.evidence);
   return all;
 }
@@ -55,10 +55,10 @@
   const auto found = std::ranges::find(entries, key_, &store::StoreEntry::key);
   const auto stored = Read(found == entries.end() ? "" : found->value);
   quarantine_.Learn(stored);
-  const auto held = EvidenceOf(quarantine_.RequestsWithVerdict());
+  const auto local = EvidenceOf(quarantine_.RequestsWithVerdict());
   const bool is_stored =
-      quarantine::EvidenceDigest(held) == quarantine::EvidenceDigest(stored);
-  if (writes && !held.empty() && !is_stored)
+      quarantine::EvidenceDigest(local) == quarantine::EvidenceDigest(stored);
+  if (writes && !local.empty() && !is_stored)
     Write(found == entries.end() ? 0 : found->revision);
 }
 
--- a/src/libs/fleet/request_quarantine.cc
+++ b/src/libs/fleet/request_quarantine.cc
@@ -91,17 +91,17 @@
 }
 
 std::vector<RequestWithVerdict> RequestQuarantine::RequestsWithVerdict() const {
-  std::vector<RequestWithVerdict> held;
+  std::vector<RequestWithVerdict> requests;
   for (const auto& [fingerprint, verdict] : known_->all()) {
     if (auto evidence = ledger_.Find(fingerprint))
-      held.push_back({*std::move(evidence), verdict});
+      requests.push_back({*std::move(evidence), verdict});
   }
   std::ranges::sort(
-      held, [](const RequestWithVerdict& a, const RequestWithVerdict& b) {
+      requests, [](const RequestWithVerdict& a, const RequestWithVerdict& b) {
         return std::pair(b.verdict.verdict, a.evidence.fingerprint) <
                std::pair(a.verdict.verdict, b.evidence.fingerprint);
       });
-  return held;
+  return requests;
 }
 
 size_t RequestQuarantine::CountOf(Verdict verdict) const {
