--- a/src/libs/fleet/evidence_store.cc
+++ b/src/libs/fleet/evidence_store.cc
@@ -12,8 +12,8 @@
 using quarantine::RequestEvidence;
 
 constexpr char kName[] = "quarantine";
-// The entry expires when the longest quarantine does. An entry for a longer
-// quarantine has been rewritten since, after a further crash.
+// The entry expires no earlier than the longest quarantine in it. If a further
+// crash extends a quarantine, the entry is written again.
 constexpr std::chrono::milliseconds kTimeToLive =
     quarantine::CrashLedger::kQuarantinePeriod;
 // The writers of the data centres list the entries at random times within this
@@ -22,10 +22,10 @@
 constexpr std::chrono::milliseconds kWriteJitter(1000);
 
 std::vector<RequestEvidence> EvidenceOf(
-    const std::vector<RequestWithVerdict>& held) {
+    const std::vector<RequestWithVerdict>& requests) {
   std::vector<RequestEvidence> all;
-  all.reserve(held.size());
-  for (const RequestWithVerdict& request : held)
+  all.reserve(requests.size());
+  for (const RequestWithVerdict& request : requests)
     all.push_back(request.evidence);
   return all;
 }
@@ -55,10 +55,10 @@
   const auto found = std::ranges::find(entries, key_, &store::StoreEntry::key);
   const auto stored = Read(found == entries.end() ? "" : found->value);
   quarantine_.Learn(stored);
-  const auto held = EvidenceOf(quarantine_.RequestsWithVerdict());
+  const auto local = EvidenceOf(quarantine_.RequestsWithVerdict());
   const bool is_stored =
-      quarantine::EvidenceDigest(held) == quarantine::EvidenceDigest(stored);
-  if (writes && !held.empty() && !is_stored)
+      quarantine::EvidenceDigest(local) == quarantine::EvidenceDigest(stored);
+  if (writes && !local.empty() && !is_stored)
     Write(found == entries.end() ? 0 : found->revision);
 }
 
