--- a/src/libs/gate/gate.cc
+++ b/src/libs/gate/gate.cc
@@ -110,8 +110,8 @@
 }
 
 void Gate::SetVerdicts(quarantine::SharedVerdicts verdicts) {
-  const auto answered =
-      guard_.SetVerdicts(std::move(verdicts), server_.life, base::Clock::now());
+  const auto answered = quarantine_filter_.SetVerdicts(
+      std::move(verdicts), server_.life, base::Clock::now());
   for (const base::RequestFingerprint& fingerprint : answered)
     outputs_.suspect_answered(fingerprint);
   CancelQuarantined();
@@ -186,8 +186,8 @@
   const base::Instant now = loop_.now();
   decision.instance = server_.instance;
   decision.load = admission_.Load(now);
-  decision.slowness = observer_.pace().Slowness(now);
-  decision.failure_share = observer_.pace().FailureShare(now);
+  decision.slowness = observer_.performance().Slowness(now);
+  decision.failure_share = observer_.performance().FailureShare(now);
   LogGateDecision(decision);
 }
 
@@ -198,7 +198,7 @@
 
 void Gate::AddLoad(net::HttpAnswer& answer) const {
   wire::LoadReport load = admission_.Load(loop_.now());
-  load.strain = observer_.pace().KnownStrain(loop_.now());
+  load.strain = observer_.performance().KnownStrain(loop_.now());
   answer.headers.push_back({wire::kLoadHeader, load.ToHeader()});
 }
 
@@ -229,14 +229,14 @@
   reported_at_ = now;
   const admission::ProbeScheduler& probes = observer_.probes();
   wire::LoadReport load = admission_.Load(now);
-  load.strain = observer_.pace().KnownStrain(now);
+  load.strain = observer_.performance().KnownStrain(now);
   outputs_.report(
       {.life = server_.life,
        .cold_until = admission_.cold_limiter().cold_until(),
        .last_answer = observer_.last_answer(),
        .load = load,
        .slowness_report_age =
-           observer_.pace().SlownessAge(now).value_or(base::Duration()),
+           observer_.performance().SlownessAge(now).value_or(base::Duration()),
        .probes = probes.probes(),
        .probe_time = probes.spent()});
 }
--- a/src/libs/gate/gate.h
+++ b/src/libs/gate/gate.h
@@ -133,7 +133,7 @@
   bool StartRelay(const base::AttemptId& id, const net::HttpAnswer& head);
   bool RelayPart(const base::AttemptId& id, std::string_view part);
   void OnServerDone(const base::AttemptId& id, net::TransferResult result);
-  // Passes the result to the server observer and to the quarantine guard.
+  // Passes the result to the server observer and to the quarantine filter.
   void RecordEnd(const GateAttempt& attempt,
                  server::RequestResult end,
                  const net::TransferResult& result,
@@ -172,7 +172,7 @@
   net::HttpClient client_;
   server::ServerObserver observer_;
   std::vector<GateArrival> waiting_for_probe_;
-  quarantine::QuarantineFilter guard_;
+  quarantine::QuarantineFilter quarantine_filter_;
   Outputs outputs_;
   base::Instant reported_at_;
   SettleCalls settle_calls_;
--- a/src/libs/gate/gate_admission.cc
+++ b/src/libs/gate/gate_admission.cc
@@ -133,8 +133,8 @@
   LogDecision({.request = head.request_name,
                .fingerprint = head.fingerprint,
                .error = ErrorKind::kServerSlow,
-               .admitted_slowness = observer_.pace().Slowness(now),
-               .slowness_age = observer_.pace().SlownessAge(now),
+               .admitted_slowness = observer_.performance().Slowness(now),
+               .slowness_age = observer_.performance().SlownessAge(now),
                .usual_strain = head.usual_strain});
   SendAnswer(arrival.reply, net::MakeErrorAnswer(ErrorKind::kServerSlow));
   return true;
@@ -151,7 +151,7 @@
   const bool has_key = KeyedRequests::HasKey(arrival.request);
   if (!is_new || has_key)
     return std::nullopt;
-  return guard_.Judge({head.fingerprint, head.is_suspect}, now);
+  return quarantine_filter_.Judge({head.fingerprint, head.is_suspect}, now);
 }
 
 void Gate::AnswerInquiry(const admission::Arrival& asked, net::Reply& reply) {
@@ -177,8 +177,8 @@
   attempt->arrived_at = arrival.arrived_at;
   attempt->target = arrival.target;
   const base::Instant now = base::Clock::now();
-  attempt->slowness = observer_.pace().Slowness(now);
-  attempt->slowness_age = observer_.pace().SlownessAge(now);
+  attempt->slowness = observer_.performance().Slowness(now);
+  attempt->slowness_age = observer_.performance().SlownessAge(now);
   attempt->method = arrival.request.method;
   attempt->request = std::move(arrival.request);
   attempt->reply = std::move(arrival.reply);
@@ -190,7 +190,7 @@
 
 bool Gate::ShouldMoveElsewhere(const wire::PeerRequestHead& head,
                                base::Instant now) const {
-  return observer_.pace().IsDegraded(now, head.usual_strain) ||
+  return observer_.performance().IsDegraded(now, head.usual_strain) ||
          (head.may_move_if_full && !admission_.HasCapacity(now));
 }
 
--- a/src/libs/gate/gate_serving.cc
+++ b/src/libs/gate/gate_serving.cc
@@ -44,7 +44,7 @@
     return quarantine::QuarantineRejection{ErrorKind::kKeyRecordUnavailable,
                                            {}};
   // The verdict may have changed while the attempt was queued.
-  return guard_.Judge(attempt.guarded, now);
+  return quarantine_filter_.Judge(attempt.guarded, now);
 }
 
 void Gate::SendToServer(GateAttempt& attempt, base::Instant now) {
@@ -55,7 +55,7 @@
   attempt.life = server_.life;
   attempt.instance = server_.instance;
   running_.OnStarted(attempt.name, attempt.traffic_class);
-  guard_.OnStarted(attempt.id, attempt.guarded);
+  quarantine_filter_.OnStarted(attempt.id, attempt.guarded);
   const base::Duration remaining = attempt.deadline - now;
   protocol_.prepare(request, {remaining, server_.instance});
   attempt.transfer = client_.Stream(
@@ -148,7 +148,7 @@
                            (end.verdict == server::ServerVerdict::kAnswered ||
                             end.verdict == server::ServerVerdict::kUnusable);
   const auto answered_by = is_answered ? std::optional(end.life) : std::nullopt;
-  if (guard_.OnEnded(attempt.id, end.fingerprint, answered_by, now))
+  if (quarantine_filter_.OnEnded(attempt.id, end.fingerprint, answered_by, now))
     outputs_.suspect_answered(end.fingerprint);
 }
 
@@ -171,14 +171,14 @@
   const quarantine::CrashId crash{identity_.id,
                                   static_cast<uint32_t>(broken.front().life)};
   outputs_.server_crash(
-      guard_.AttributeCrash(crash, running, base::Clock::now()));
+      quarantine_filter_.AttributeCrash(crash, running, base::Clock::now()));
 }
 
 void Gate::CancelQuarantined() {
   const base::Instant now = base::Clock::now();
   std::vector<std::pair<AttemptId, base::Duration>> quarantined;
   for (const auto& [id, attempt] : attempts_) {
-    const auto refusal = guard_.Judge(attempt->guarded, now);
+    const auto refusal = quarantine_filter_.Judge(attempt->guarded, now);
     if (refusal && refusal->error == ErrorKind::kRequestQuarantined)
       quarantined.emplace_back(id, refusal->retry_after);
   }
@@ -213,7 +213,8 @@
   if (!node.empty()) {
     client_.Cancel(node.mapped()->transfer);
     running_.OnEnded(node.mapped()->name);
-    guard_.OnEnded(id, node.mapped()->guarded.fingerprint, std::nullopt, now);
+    quarantine_filter_.OnEnded(id, node.mapped()->guarded.fingerprint,
+                               std::nullopt, now);
     Record(*node.mapped(), reason.stopped, now);
     Answer(*node.mapped(),
            wire::MakePeerErrorAnswer(reason.stopped, reason.retry_after));
@@ -231,7 +232,8 @@
     return false;
   client_.Cancel(found->second->transfer);
   running_.OnEnded(found->second->name);
-  guard_.OnEnded(id, found->second->guarded.fingerprint, std::nullopt, now);
+  quarantine_filter_.OnEnded(id, found->second->guarded.fingerprint,
+                             std::nullopt, now);
   Refuse(id, reason.not_run, reason.retry_after);
   Perform(admission_.Finish(id, now, ServerResult::kNotSent));
   CheckEmpty();
--- a/src/libs/gate/keyed_requests.cc
+++ b/src/libs/gate/keyed_requests.cc
@@ -65,12 +65,12 @@
 
 KeyedRequests::KeyedRequests(base::NodeId self)
     : ownership_(self, keys::OwnershipOptions{}),
-      ledger_(keys::KeyRecordLimits{}) {}
+      records_(keys::KeyRecordLimits{}) {}
 
 void KeyedRequests::SetView(std::vector<keys::OwnerNode> nodes,
                             base::Instant as_of) {
   ownership_.SetView(std::move(nodes), as_of);
-  ledger_.Expire(as_of);
+  records_.Expire(as_of);
 }
 
 bool KeyedRequests::HasKey(const net::HttpRequest& request) {
@@ -90,12 +90,12 @@
   const auto ownership =
       ownership_.StatusOf(scope.Hash(), base::ParseDuration(age), now);
   // A record held by this node is used even if the key now has another owner.
-  const bool is_known = ledger_.Contains(scope);
+  const bool is_known = records_.Contains(scope);
   if (!is_known) {
     if (auto answer = AnswerTo(ownership))
       return answer;
   }
-  const auto claim = ledger_.Begin(scope, keys::Fingerprint(request), now);
+  const auto claim = records_.Begin(scope, keys::Fingerprint(request), now);
   if (auto answer = AnswerTo(claim))
     return answer;
   active_.emplace(head.attempt, std::move(scope));
@@ -111,7 +111,7 @@
                                base::Instant now) {
   auto ended = active_.extract(attempt);
   if (!ended.empty())
-    ledger_.OnAnswerDiscarded(ended.mapped(), now);
+    records_.OnAnswerDiscarded(ended.mapped(), now);
 }
 
 void KeyedRequests::OnEnd(const base::AttemptId& attempt,
@@ -126,11 +126,11 @@
   net::HttpAnswer stored = answer;
   net::RemoveHeader(stored.headers, wire::kServerTimeHeader);
   if (head.outcome == base::Outcome::kAnswered)
-    ledger_.OnAnswer(scope, stored, now);
+    records_.OnAnswer(scope, stored, now);
   else if (head.outcome == base::Outcome::kNotRun || is_unsent)
-    ledger_.OnNotRun(scope);
+    records_.OnNotRun(scope);
   else
-    ledger_.OnUncertain(scope, now);
+    records_.OnUncertain(scope, now);
   if (!is_unsent)
     answer.headers.push_back({wire::kKeyNewHeader, "true"});
 }
--- a/src/libs/gate/keyed_requests.h
+++ b/src/libs/gate/keyed_requests.h
@@ -45,7 +45,7 @@
 
  private:
   keys::KeyOwnership ownership_;
-  keys::KeyRecordStore ledger_;
+  keys::KeyRecordStore records_;
   absl::flat_hash_map<base::AttemptId, keys::KeyScope> active_;
 };
 
--- a/src/libs/server/server_observer.cc
+++ b/src/libs/server/server_observer.cc
@@ -32,8 +32,8 @@
   prober_.SetServer(server);
   if (!has_started)
     return;
-  end_watch_.OnServerRestarted(base::Clock::now());
-  pace_.Reset();
+  crash_detector_.OnServerRestarted(base::Clock::now());
+  performance_.Reset();
   is_replaced_ = false;
 }
 
@@ -44,7 +44,7 @@
 
 void ServerObserver::ProbeIfInDoubt(base::Instant now) {
   const bool is_due =
-      end_watch_.IsCrashSuspected() && now >= next_doubt_probe_at_;
+      crash_detector_.IsCrashSuspected() && now >= next_doubt_probe_at_;
   if (is_due && prober_.ProbeNow(now))
     next_doubt_probe_at_ = now + kDoubtProbeInterval;
 }
@@ -60,13 +60,14 @@
                          {"found", protocol_.instance(answer.headers)}});
   }
   if (request.end == net::TransferEnd::kLost) {
-    end_watch_.OnInterrupted({.fingerprint = request.fingerprint,
-                              .is_suspect = request.is_suspect,
-                              .life = request.life,
-                              .instance = request.instance,
-                              .is_over_cold_rate = request.is_over_cold_rate,
-                              .started_at = request.started_at,
-                              .interrupted_at = now});
+    crash_detector_.OnInterrupted(
+        {.fingerprint = request.fingerprint,
+         .is_suspect = request.is_suspect,
+         .life = request.life,
+         .instance = request.instance,
+         .is_over_cold_rate = request.is_over_cold_rate,
+         .started_at = request.started_at,
+         .interrupted_at = now});
   }
   // A result that arrives after a new incarnation has announced itself must not
   // count for that one: the new server would stay idle because of a connection
@@ -85,20 +86,20 @@
     UpdateFromHeaders(answer.headers, now);
   }
   if (request.is_refused)
-    end_watch_.OnConnectionRefused(now);
+    crash_detector_.OnConnectionRefused(now);
   if (is_complete && request.verdict == ServerVerdict::kOtherInstance) {
     is_replaced_ = true;
     return;
   }
   if (is_complete)
-    end_watch_.OnAnswer(request.started_at);
+    crash_detector_.OnAnswer(request.started_at);
   const bool is_answered =
       is_complete && request.verdict == ServerVerdict::kAnswered;
   // The failure was caused by another service and would occur on any server of
   // this service.
   if (is_answered && request.has_failed_call)
     return;
-  pace_.OnResult(is_answered && answer.status < kServerError, now);
+  performance_.OnResult(is_answered && answer.status < kServerError, now);
 }
 
 void ServerObserver::OnProbeResult(const net::TransferResult& result,
@@ -114,25 +115,25 @@
   const std::string found = protocol_.instance(result.answer.headers);
   const bool is_own = found.empty() || instance_.empty() || found == instance_;
   if (result.end == net::TransferEnd::kComplete && is_own)
-    end_watch_.OnAnswer(started_at);
+    crash_detector_.OnAnswer(started_at);
   if (result.is_refused)
-    end_watch_.OnConnectionRefused(now);
+    crash_detector_.OnConnectionRefused(now);
   if (result.end == net::TransferEnd::kComplete) {
     UpdateFromHeaders(result.answer.headers, now);
     const auto& headers = result.answer.headers;
     if (is_own && protocol_.reports_cold_state && !protocol_.cold_for(headers))
       outputs_.warm_reported();
   } else if (result.end == net::TransferEnd::kTimedOut) {
-    pace_.OnProbeTimeout(now);
+    performance_.OnProbeTimeout(now);
   } else {
-    pace_.OnResult(false, now);
+    performance_.OnResult(false, now);
   }
 }
 
 void ServerObserver::UpdateFromHeaders(const net::HttpHeaders& headers,
                                        base::Instant now) {
   if (const auto load = protocol_.load(headers))
-    pace_.OnSlowness(load->slowness, now);
+    performance_.OnSlowness(load->slowness, now);
   if (const auto remaining = protocol_.cold_for(headers))
     outputs_.cold_reported(*remaining);
 }
--- a/src/libs/server/server_observer.h
+++ b/src/libs/server/server_observer.h
@@ -69,10 +69,12 @@
   // crash.
   std::optional<std::vector<admission::InterruptedRequest>> TakeCrash(
       base::Instant now) {
-    return end_watch_.TakeCrash(now);
+    return crash_detector_.TakeCrash(now);
   }
 
-  const admission::ServerPerformance& pace() const { return pace_; }
+  const admission::ServerPerformance& performance() const {
+    return performance_;
+  }
   // Another instance responded to a request meant for this one. Nothing is sent
   // to the address until that instance announces itself.
   bool is_replaced() const { return is_replaced_; }
@@ -103,8 +105,8 @@
   Outputs outputs_;
   std::string instance_;
   uint64_t life_ = 0;
-  admission::ServerPerformance pace_;
-  admission::ServerCrashDetector end_watch_;
+  admission::ServerPerformance performance_;
+  admission::ServerCrashDetector crash_detector_;
   base::Instant next_doubt_probe_at_;
   bool is_replaced_ = false;
   ServerProber prober_;
