--- a/src/libs/admission/attempt_ledger.h
+++ b/src/libs/admission/attempt_ledger.h
@@ -52,7 +52,7 @@
   size_t origins() const { return origins_.size(); }
 
  private:
-  struct End {
+  struct FinishedRecord {
     base::AttemptId attempt;
     base::Instant since;
   };
@@ -66,7 +66,7 @@
 
   LedgerLimits limits_;
   absl::flat_hash_map<base::AttemptId, AttemptState> records_;
-  std::deque<End> finished_;
+  std::deque<FinishedRecord> finished_;
   absl::flat_hash_map<uint64_t, Origin> origins_;
 };
 
--- a/src/libs/calls/call.h
+++ b/src/libs/calls/call.h
@@ -40,7 +40,7 @@
   NextSteps OnAttemptEnd(int attempt, const AttemptEnd& end, base::Instant now);
   // The reply to kCancel if `cancelled`, otherwise to kQueryStatus.
   NextSteps OnStatusReply(int attempt,
-                          AttemptStatus answer,
+                          AttemptStatus status,
                           bool cancelled,
                           base::Instant now);
   // Must be called at or after `next_timer()`.
@@ -98,11 +98,11 @@
               base::Instant now);
   void OnQueryReply(NextSteps& steps,
                     int attempt,
-                    AttemptStatus answer,
+                    AttemptStatus status,
                     base::Instant now);
   void OnCancelReply(NextSteps& steps,
                      int attempt,
-                     AttemptStatus answer,
+                     AttemptStatus status,
                      base::Instant now);
   void CancelInFlight(NextSteps& steps);
   void Hedge(NextSteps& steps, base::Instant now);
--- a/src/libs/calls/call_status_queries.cc
+++ b/src/libs/calls/call_status_queries.cc
@@ -17,7 +17,7 @@
 }  // namespace
 
 NextSteps Call::OnStatusReply(int attempt,
-                              AttemptStatus answer,
+                              AttemptStatus status,
                               bool cancelled,
                               Instant now) {
   NextSteps steps;
@@ -27,15 +27,15 @@
   if (phase != Phase::kInFlight && phase != Phase::kResolving)
     return steps;
   if (cancelled)
-    OnCancelReply(steps, attempt, answer, now);
+    OnCancelReply(steps, attempt, status, now);
   else
-    OnQueryReply(steps, attempt, answer, now);
+    OnQueryReply(steps, attempt, status, now);
   return steps;
 }
 
 void Call::OnQueryReply(NextSteps& steps,
                         int attempt,
-                        AttemptStatus answer,
+                        AttemptStatus status,
                         Instant now) {
   Attempt& queried = attempts_[attempt];
   if (queried.is_cancel_sent)
@@ -44,7 +44,7 @@
   queried.query_interval =
       std::min<base::Duration>(queried.query_interval * 2, kMaxQueryInterval);
   queried.next_query_at = now + queried.query_interval;
-  switch (answer) {
+  switch (status) {
     case AttemptStatus::kNeverRuns:
       steps.push_back({Step::kCloseConnection, attempt});
       OnNotRun(steps, attempt, ErrorKind::kSilentConnection, {}, now);
@@ -73,11 +73,11 @@
 
 void Call::OnCancelReply(NextSteps& steps,
                          int attempt,
-                         AttemptStatus answer,
+                         AttemptStatus status,
                          Instant now) {
   Attempt& queried = attempts_[attempt];
   queried.is_query_pending = false;
-  if (answer == AttemptStatus::kNeverRuns) {
+  if (status == AttemptStatus::kNeverRuns) {
     // After the cancellation before the deadline, the connection is kept: if it
     // is only slow, it still delivers the refusal.
     if (queried.phase == Phase::kInFlight && !has_cancelled_)
--- a/src/libs/gate/gate.h
+++ b/src/libs/gate/gate.h
@@ -140,7 +140,7 @@
                  base::Instant now);
   // The server crashed while it ran these requests.
   void OnServerCrashed(
-      const std::vector<admission::InterruptedRequest>& broken);
+      const std::vector<admission::InterruptedRequest>& interrupted);
   // Refuses queued requests, and stops running ones where allowed, that have
   // been put in quarantine since they arrived.
   void CancelQuarantined();
--- a/src/libs/gate/gate_serving.cc
+++ b/src/libs/gate/gate_serving.cc
@@ -153,23 +153,23 @@
 }
 
 void Gate::OnServerCrashed(
-    const std::vector<admission::InterruptedRequest>& broken) {
-  LogServerCrash(server_.service, broken);
+    const std::vector<admission::InterruptedRequest>& interrupted) {
+  LogServerCrash(server_.service, interrupted);
   // If the server had got more requests than a cold one tolerates, their number
   // explains the crash and no single request is blamed.
   const bool is_explained = std::ranges::all_of(
-      broken, &admission::InterruptedRequest::is_over_cold_rate);
+      interrupted, &admission::InterruptedRequest::is_over_cold_rate);
   if (is_explained)
     return;
   std::vector<quarantine::RunningRequest> running;
-  running.reserve(broken.size());
-  for (const admission::InterruptedRequest& request : broken) {
+  running.reserve(interrupted.size());
+  for (const admission::InterruptedRequest& request : interrupted) {
     running.push_back({request.fingerprint,
                        request.interrupted_at - request.started_at,
                        request.is_suspect});
   }
-  const quarantine::CrashId crash{identity_.id,
-                                  static_cast<uint32_t>(broken.front().life)};
+  const quarantine::CrashId crash{
+      identity_.id, static_cast<uint32_t>(interrupted.front().life)};
   outputs_.server_crash(
       quarantine_filter_.AttributeCrash(crash, running, base::Clock::now()));
 }
