--- a/src/libs/configuration/isolation_detector.h
+++ b/src/libs/configuration/isolation_detector.h
@@ -23,10 +23,10 @@
   static constexpr base::Duration kCheckInterval =
       std::chrono::milliseconds(250);
 
-  // Records a check at `now`. `heard_at` is the time of the last contact with
-  // any other node; nothing if there was none, which does not count as
+  // Records a check at `now`. `last_contact` is the time of the last contact
+  // with any other node; nothing if there was none, which does not count as
   // isolation.
-  void Check(std::optional<base::Instant> heard_at, base::Instant now);
+  void Check(std::optional<base::Instant> last_contact, base::Instant now);
 
   // Whether the last two checks or more have failed.
   bool is_isolated() const { return failed_checks_ > 1; }
--- a/src/libs/fleet/fleet_membership.h
+++ b/src/libs/fleet/fleet_membership.h
@@ -92,8 +92,8 @@
   // Returns all live members at present, including this node.
   std::vector<membership::Member> Members() const;
   // When the last message from another node was received; nothing if none was.
-  std::optional<base::Instant> heard_at() const {
-    return gossip_ ? gossip_->heard_at() : std::nullopt;
+  std::optional<base::Instant> last_contact() const {
+    return gossip_ ? gossip_->last_contact() : std::nullopt;
   }
   const membership::GossipCounters& counters() const {
     return gossip_->counters();
--- a/src/libs/fleet_configuration/configuration_reader.cc
+++ b/src/libs/fleet_configuration/configuration_reader.cc
@@ -65,7 +65,7 @@
 }
 
 void ConfigurationReader::ReadIfDue() {
-  isolation_.Check(fleet_.heard_at(), loop_.now());
+  isolation_.Check(fleet_.last_contact(), loop_.now());
   if (std::exchange(must_read_once_, false) || ShouldRead()) {
     Read();
     return;
@@ -143,7 +143,7 @@
 
 void ConfigurationReader::OnWatchEnded(
     const base::Result<ConfigurationStore::WatchResult>& watched) {
-  isolation_.Check(fleet_.heard_at(), loop_.now());
+  isolation_.Check(fleet_.last_contact(), loop_.now());
   if (!watched) {
     const bool is_timed_out = loop_.now() >= watch_deadline_;
     if (is_timed_out)
--- a/src/libs/fleet_configuration/configuration_reader.h
+++ b/src/libs/fleet_configuration/configuration_reader.h
@@ -29,7 +29,7 @@
   // This node's link to the rest of the fleet.
   struct FleetCallbacks {
     // Returns when any other node last made contact; nothing if never.
-    std::function<std::optional<base::Instant>()> heard_at;
+    std::function<std::optional<base::Instant>()> last_contact;
     // Informs the other nodes that this node has lost the store, or can reach
     // it again.
     std::function<void(bool has_lost)> report_store_lost;
--- a/src/libs/ingress/attempt_sender.cc
+++ b/src/libs/ingress/attempt_sender.cc
@@ -268,7 +268,7 @@
   sent.service->chooser().OnEnded(sent.node, {verdict, latency, head.load},
                                   now);
   if (end.verdict == AttemptVerdict::kAnswered)
-    sent.service->timing().OnAnswer(latency, now);
+    sent.service->timeouts().OnAnswer(latency, now);
   if (sent.relay)
     sent.relay->End(result.end);
   if (sent.handler)
--- a/src/libs/ingress/ingress_attempts.cc
+++ b/src/libs/ingress/ingress_attempts.cc
@@ -203,7 +203,7 @@
        command_sent_at](calls::AttemptStatus answer) {
         UpdateCall(id, [&](ActiveCall& updated) {
           if (answer != calls::AttemptStatus::kNoAnswer) {
-            updated.service->timing().OnStatusReply(
+            updated.service->timeouts().OnStatusReply(
                 loop_.now() - command_sent_at, loop_.now());
           }
           return updated.call_state.OnStatusReply(attempt, answer, cancel,
--- a/src/libs/ingress/service_traffic.cc
+++ b/src/libs/ingress/service_traffic.cc
@@ -46,7 +46,7 @@
   policy.is_repeatable = request.is_repeatable;
   policy.is_retried_above = request.retry_level.has_value();
   policy.is_pinned_to_server = !request.idempotency_key.empty();
-  timing_.Apply(hedge_budget_, policy);
+  timeouts_.Apply(hedge_budget_, policy);
   // Leaves half of the target to the hedge. A hedge at the latency quantile
   // would start too late if service times vary by more than the target allows.
   if (hedge_budget_ > 0 && request.target_latency > base::Duration::zero())
--- a/src/libs/ingress/service_traffic.h
+++ b/src/libs/ingress/service_traffic.h
@@ -29,7 +29,7 @@
   calls::CallBudgets Budgets();
 
   routing::ServerChooser& chooser() { return chooser_; }
-  calls::AdaptiveTimeouts& timing() { return timing_; }
+  calls::AdaptiveTimeouts& timeouts() { return timeouts_; }
 
  private:
   routing::ServerChooser chooser_;
@@ -38,7 +38,7 @@
   calls::RetryBudget hedges_;
   calls::RetryBudget refusals_;
   calls::RetryBudget status_queries_;
-  calls::AdaptiveTimeouts timing_;
+  calls::AdaptiveTimeouts timeouts_;
   double hedge_budget_ = 0;
   bool has_fleet_limit_ = false;
 };
--- a/src/libs/membership/gossip.cc
+++ b/src/libs/membership/gossip.cc
@@ -99,7 +99,7 @@
   }
   if (message->sender == self_)
     return;
-  heard_at_ = now;
+  last_contact_ = now;
   const bool was_unknown = table_.Find(message->sender) == nullptr;
   ApplyUpdate(now,
               {message->sender, message->incarnation, MemberState::kAlive,
--- a/src/libs/membership/gossip.h
+++ b/src/libs/membership/gossip.h
@@ -91,7 +91,7 @@
   const GossipCounters& counters() const { return counters_; }
   // When the last message from another member was received; nothing if none
   // was.
-  std::optional<base::Instant> heard_at() const { return heard_at_; }
+  std::optional<base::Instant> last_contact() const { return last_contact_; }
   const evacuation::Evacuations& evacuations() const {
     return evacuations_.current();
   }
@@ -221,7 +221,7 @@
   ByteRateLimiter budget_;
   ByteRateLimiter acks_;
   GossipCounters counters_;
-  std::optional<base::Instant> heard_at_;
+  std::optional<base::Instant> last_contact_;
   bool has_left_ = false;
 
   uint32_t last_sequence_;
--- a/src/libs/node/control_plane.cc
+++ b/src/libs/node/control_plane.cc
@@ -60,7 +60,7 @@
           control_caller_,
           adapters.configuration,
           settings,
-          {.heard_at = [this] { return membership_.heard_at(); },
+          {.last_contact = [this] { return membership_.last_contact(); },
            .report_store_lost =
                [this](bool has_lost) { OnStoreLossChanged(has_lost); }},
           random),
--- a/tests/auto/configuration/fleet_contact_test.cc
+++ b/tests/auto/configuration/fleet_contact_test.cc
@@ -31,8 +31,8 @@
   }
   SECTION("not while there is contact between two checks") {
     for (int i = 0; i < 20; ++i) {
-      const base::Instant heard_at = now;
-      detector.Check(heard_at, now += kInterval);
+      const base::Instant last_contact = now;
+      detector.Check(last_contact, now += kInterval);
     }
     CHECK_FALSE(detector.is_isolated());
   }
--- a/tests/auto/fleet_configuration/configuration_reader_test.cc
+++ b/tests/auto/fleet_configuration/configuration_reader_test.cc
@@ -111,7 +111,8 @@
             local_,
             random_,
             std::chrono::seconds(1),
-            {.heard_at = [this] { return heard_at ? heard_at : loop_.now(); },
+            {.last_contact =
+                 [this] { return last_contact ? last_contact : loop_.now(); },
              .report_store_lost =
                  [this](bool lost) { reported_lost.push_back(lost); }},
             [](const auto&, const auto&) {}) {
@@ -150,7 +151,7 @@
   EmptyStore& store() { return store_; }
 
   std::vector<Member> members;
-  std::optional<base::Instant> heard_at;  // Unset for permanent contact.
+  std::optional<base::Instant> last_contact;  // Unset for permanent contact.
   std::vector<bool> reported_lost;  // Reports to the other nodes, in order.
 
  private:
@@ -176,13 +177,13 @@
                                     [&] { return fixture.store().reads > 0; }));
   }
   SECTION("reads when it is isolated, before the others count as failed") {
-    fixture.heard_at = base::Clock::now();
+    fixture.last_contact = base::Clock::now();
     CHECK(fixture.IsMetWithin(std::chrono::seconds(2),
                               [&] { return fixture.store().reads > 0; }));
     CHECK(fixture.IsMetWithin(std::chrono::seconds(2),
                               [&] { return fixture.store().watches > 0; }));
     SECTION("and stops after the next contact") {
-      fixture.heard_at.reset();
+      fixture.last_contact.reset();
       const int reads = fixture.store().reads;
       fixture.store().EndWatches();
       CHECK_FALSE(fixture.IsMetWithin(std::chrono::seconds(2), [&] {
