--- a/src/libs/ingress/attempt_sender.cc
+++ b/src/libs/ingress/attempt_sender.cc
@@ -68,20 +68,20 @@
                                               : AttemptVerdict::kFailed};
 }
 
-routing::AttemptVerdict ToRouting(AttemptVerdict verdict) {
+routing::AttemptResultKind ToRouting(AttemptVerdict verdict) {
   switch (verdict) {
     case AttemptVerdict::kAnswered:
-      return routing::AttemptVerdict::kAnswered;
+      return routing::AttemptResultKind::kAnswered;
     case AttemptVerdict::kFailed:
-      return routing::AttemptVerdict::kFailed;
+      return routing::AttemptResultKind::kFailed;
     case AttemptVerdict::kRefused:
     case AttemptVerdict::kFinalError:
-      return routing::AttemptVerdict::kRefused;
+      return routing::AttemptResultKind::kRefused;
     case AttemptVerdict::kNotSent:
     case AttemptVerdict::kLost:
       break;
   }
-  return routing::AttemptVerdict::kUnreachable;
+  return routing::AttemptResultKind::kUnreachable;
 }
 
 }  // namespace
@@ -223,7 +223,7 @@
   client_.Cancel(sent.transfer);
   sent.service->chooser().OnEnded(
       sent.node,
-      {routing::AttemptVerdict::kCancelled, loop_.now() - sent.sent_at},
+      {routing::AttemptResultKind::kCancelled, loop_.now() - sent.sent_at},
       loop_.now());
 }
 
@@ -235,7 +235,7 @@
   client_.Cancel(dropped.transfer);
   dropped.service->chooser().OnEnded(
       dropped.node,
-      {routing::AttemptVerdict::kUnreachable, loop_.now() - dropped.sent_at},
+      {routing::AttemptResultKind::kUnreachable, loop_.now() - dropped.sent_at},
       loop_.now());
 }
 
@@ -257,16 +257,15 @@
   const calls::AttemptEnd end = ReadEnd(result, head);
   const bool is_cancelled = !sent.handler && !sent.is_streamed &&
                             end.verdict != AttemptVerdict::kAnswered;
-  auto verdict = is_cancelled ? routing::AttemptVerdict::kCancelled
-                              : ToRouting(end.verdict);
+  auto kind = is_cancelled ? routing::AttemptResultKind::kCancelled
+                           : ToRouting(end.verdict);
   // The request failed because of a nested call to another service, as it would
   // at any server of this service.
   const bool has_failed_call =
       !net::FindHeader(result.answer.headers, wire::kCallFailedHeader).empty();
-  if (verdict == routing::AttemptVerdict::kFailed && has_failed_call)
-    verdict = routing::AttemptVerdict::kAnswered;
-  sent.service->chooser().OnEnded(sent.node, {verdict, latency, head.load},
-                                  now);
+  if (kind == routing::AttemptResultKind::kFailed && has_failed_call)
+    kind = routing::AttemptResultKind::kAnswered;
+  sent.service->chooser().OnEnded(sent.node, {kind, latency, head.load}, now);
   if (end.verdict == AttemptVerdict::kAnswered)
     sent.service->timeouts().OnAnswer(latency, now);
   if (sent.relay)
--- a/src/libs/membership/gossip.h
+++ b/src/libs/membership/gossip.h
@@ -134,7 +134,7 @@
   void UpdateTimers(base::Instant now, const MemberEntry& entry);
   void ReplaceEntry(MemberEntry entry, GossipOutput& output);
 
-  // gossip_telling.cc: building and sending messages.
+  // gossip_sending.cc: building and sending messages.
   void EnqueueUpdate(base::Instant now, base::NodeId id, bool with_record);
   MemberUpdate MakeUpdate(const MemberEntry& entry, bool with_record) const;
   GossipMessage MakeMessage(MessageType type, base::NodeId subject) const;
--- a/src/libs/routing/attempt_result.h
+++ b/src/libs/routing/attempt_result.h
@@ -9,7 +9,7 @@
 
 namespace chestnutport::routing {
 
-enum class AttemptVerdict {
+enum class AttemptResultKind {
   kAnswered,     // The server answered, below status 500.
   kFailed,       // The server answered with a status of 500 or more.
   kRefused,      // The server's node refused the attempt; it did not run.
@@ -18,7 +18,7 @@
 };
 
 struct AttemptResult {
-  AttemptVerdict verdict = AttemptVerdict::kAnswered;
+  AttemptResultKind kind = AttemptResultKind::kAnswered;
   base::Duration latency{};  // From sending to the end of the answer.
   std::optional<wire::LoadReport> load;  // If the answer included one.
 };
--- a/src/libs/routing/server_estimate.cc
+++ b/src/libs/routing/server_estimate.cc
@@ -70,24 +70,24 @@
     OnReport(*result.load, slots, service, now);
   const Seconds latency = result.latency;
   const Seconds failure = service.typical_latency() * kFailurePenaltyFactor;
-  switch (result.verdict) {
-    case AttemptVerdict::kAnswered:
+  switch (result.kind) {
+    case AttemptResultKind::kAnswered:
       silent_since_ = now;
       service.OnAnswer(latency);
       UpdateLatency(latency, kAnswerWeight, service, now);
       return;
-    case AttemptVerdict::kFailed:
+    case AttemptResultKind::kFailed:
       silent_since_ = now;
       UpdateLatency(std::max(latency, failure), kAnswerWeight, service, now);
       return;
-    case AttemptVerdict::kRefused:
+    case AttemptResultKind::kRefused:
       silent_since_ = now;
       OnRefused(result, now);
       return;
-    case AttemptVerdict::kUnreachable:
+    case AttemptResultKind::kUnreachable:
       UpdateLatency(std::max(latency, failure), kLossWeight, service, now);
       return;
-    case AttemptVerdict::kCancelled:
+    case AttemptResultKind::kCancelled:
       // The answer would have taken at least this long.
       if (latency > latency_)
         UpdateLatency(latency, kAnswerWeight, service, now);
--- a/tests/auto/routing/server_chooser_test.cc
+++ b/tests/auto/routing/server_chooser_test.cc
@@ -67,7 +67,7 @@
 constexpr NodeId kOutlier{3};  // The server that behaves differently.
 
 AttemptResult Answered(base::Duration latency = kUsual) {
-  return {AttemptVerdict::kAnswered, latency, {}};
+  return {AttemptResultKind::kAnswered, latency, {}};
 }
 
 TEST_CASE("Slow or failing servers get little work") {
@@ -89,9 +89,10 @@
   }
   SECTION("one that fails at once") {
     fixture.Serve(600, [](NodeId node) {
-      return node == kOutlier
-                 ? AttemptResult{AttemptVerdict::kFailed, milliseconds(1), {}}
-                 : Answered();
+      return node == kOutlier ? AttemptResult{AttemptResultKind::kFailed,
+                                              milliseconds(1),
+                                              {}}
+                              : Answered();
     });
     CHECK(fixture.chosen[kOutlier] < 600 / 6 / 4);
   }
@@ -107,7 +108,7 @@
     fixture.Serve(300, [](NodeId node) {
       AttemptResult result = Answered();
       if (node == kOutlier) {
-        result = {AttemptVerdict::kRefused, milliseconds(1),
+        result = {AttemptResultKind::kRefused, milliseconds(1),
                   wire::LoadReport{2, 12, 0, {}}};
       }
       return result;
@@ -133,7 +134,7 @@
 TEST_CASE("If every server fails, requests are still sent") {
   ChooserFixture fixture(4);
   fixture.Serve(200, [](NodeId) {
-    return AttemptResult{AttemptVerdict::kFailed, milliseconds(1), {}};
+    return AttemptResult{AttemptResultKind::kFailed, milliseconds(1), {}};
   });
   CHECK(fixture.chosen.size() == 4);
   CHECK(fixture.Choose() != NodeId{});
--- a/tests/benchmarks/decisions/server_answer.h
+++ b/tests/benchmarks/decisions/server_answer.h
@@ -10,7 +10,7 @@
 namespace chestnutport::bench {
 
 struct ServerAnswer {
-  routing::AttemptVerdict verdict = routing::AttemptVerdict::kAnswered;
+  routing::AttemptResultKind kind = routing::AttemptResultKind::kAnswered;
   base::ErrorKind error = base::ErrorKind::kInternal;  // For a refusal.
   base::Duration retry_after{};
   wire::LoadReport load;
--- a/tests/benchmarks/decisions/simulated_server.cc
+++ b/tests/benchmarks/decisions/simulated_server.cc
@@ -50,8 +50,8 @@
   }
   switch (admission_.Cancel(attempt, queue_.now())) {
     case admission::AttemptState::kQueued:
-      Answer(attempt,
-             {routing::AttemptVerdict::kRefused, base::ErrorKind::kCancelled});
+      Answer(attempt, {routing::AttemptResultKind::kRefused,
+                       base::ErrorKind::kCancelled});
       return AttemptStatus::kNeverRuns;
     case admission::AttemptState::kNeverRuns:
       return AttemptStatus::kNeverRuns;
@@ -86,7 +86,7 @@
       Start(action.attempt);
       continue;
     }
-    Answer(action.attempt, {routing::AttemptVerdict::kRefused, action.error,
+    Answer(action.attempt, {routing::AttemptResultKind::kRefused, action.error,
                             action.retry_after});
   }
 }
@@ -115,8 +115,8 @@
   if (!is_up_)
     return;
   const auto actions = admission_.Finish(attempt, queue_.now());
-  Answer(attempt, {ok ? routing::AttemptVerdict::kAnswered
-                      : routing::AttemptVerdict::kFailed});
+  Answer(attempt, {ok ? routing::AttemptResultKind::kAnswered
+                      : routing::AttemptResultKind::kFailed});
   Perform(actions);
 }
 
--- a/tests/benchmarks/decisions/simulation.h
+++ b/tests/benchmarks/decisions/simulation.h
@@ -130,8 +130,8 @@
         SendCommand(ingress, call, step.attempt, true);
         return;
       case calls::Step::kCloseConnection:
-        End(ingress, call, step.attempt, routing::AttemptVerdict::kUnreachable,
-            std::nullopt);
+        End(ingress, call, step.attempt,
+            routing::AttemptResultKind::kUnreachable, std::nullopt);
         return;
       case calls::Step::kAbandon:
         call.attempts[step.attempt].is_abandoned = true;
@@ -201,11 +201,11 @@
     const AttemptRun& run = call.attempts[attempt];
     SimulatedServer& server = *run.server;
     if (!server.is_up()) {
-      fleet_.queue().At(
-          run.sent_at + kConnectTimeout, [this, &ingress, &call, attempt] {
-            OnEnd(ingress, call, attempt, routing::AttemptVerdict::kUnreachable,
-                  {calls::AttemptVerdict::kNotSent});
-          });
+      fleet_.queue().At(run.sent_at + kConnectTimeout, [this, &ingress, &call,
+                                                        attempt] {
+        OnEnd(ingress, call, attempt, routing::AttemptResultKind::kUnreachable,
+              {calls::AttemptVerdict::kNotSent});
+      });
       return;
     }
     server.Arrive({run.id, "tenant-" + std::to_string(call.tenant), "",
@@ -254,29 +254,29 @@
                 int attempt,
                 const ServerAnswer& answer) {
     AttemptRun& run = call.attempts[attempt];
-    run.ok = answer.verdict == routing::AttemptVerdict::kAnswered;
+    run.ok = answer.kind == routing::AttemptResultKind::kAnswered;
     if (run.ok && run.is_open) {
       ingress.services[call.service]->timing.OnAnswer(now() - run.sent_at,
                                                       now());
     }
     calls::AttemptEnd end{calls::AttemptVerdict::kRefused, answer.error,
                           answer.retry_after};
-    if (answer.verdict != routing::AttemptVerdict::kRefused)
+    if (answer.kind != routing::AttemptResultKind::kRefused)
       end = {run.ok ? calls::AttemptVerdict::kAnswered
                     : calls::AttemptVerdict::kFailed};
-    OnEnd(ingress, call, attempt, answer.verdict, end, answer.load);
+    OnEnd(ingress, call, attempt, answer.kind, end, answer.load);
   }
 
   void OnEnd(Ingress& ingress,
              CallRun& call,
              int attempt,
-             routing::AttemptVerdict verdict,
+             routing::AttemptResultKind kind,
              const calls::AttemptEnd& end,
              const std::optional<wire::LoadReport>& load = std::nullopt) {
     const bool is_abandoned = call.attempts[attempt].is_abandoned;
-    if (is_abandoned && verdict != routing::AttemptVerdict::kAnswered)
-      verdict = routing::AttemptVerdict::kCancelled;
-    if (End(ingress, call, attempt, verdict, load) && !is_abandoned)
+    if (is_abandoned && kind != routing::AttemptResultKind::kAnswered)
+      kind = routing::AttemptResultKind::kCancelled;
+    if (End(ingress, call, attempt, kind, load) && !is_abandoned)
       RunSteps(ingress, call,
                call.call_state.OnAttemptEnd(attempt, end, now()));
   }
@@ -286,7 +286,7 @@
   bool End(Ingress& ingress,
            CallRun& call,
            int attempt,
-           routing::AttemptVerdict verdict,
+           routing::AttemptResultKind kind,
            const std::optional<wire::LoadReport>& load) {
     AttemptRun& run = call.attempts[attempt];
     if (!run.is_open)
@@ -294,8 +294,7 @@
     run.is_open = false;
     run.server->AddOutstanding(-1);
     ingress.services[call.service]->policy.OnEnded(
-        run.server->candidate().node, {verdict, now() - run.sent_at, load},
-        now());
+        run.server->candidate().node, {kind, now() - run.sent_at, load}, now());
     return true;
   }
 
