--- a/src/libs/gate/settle_calls.cc
+++ b/src/libs/gate/attempt_control_calls.cc
@@ -1,4 +1,4 @@
-#include "gate/settle_calls.h"
+#include "gate/attempt_control_calls.h"
 #include "traffic/peer_paths.h"
 
 #include <nlohmann/json.hpp>
@@ -17,7 +17,7 @@
   return !request.contains(field) || request[field] != false;
 }
 
-std::optional<SettleRequest> ParseRequest(const std::string& text) {
+std::optional<AttemptControlRequest> ParseRequest(const std::string& text) {
   const json read = json::parse(text, nullptr, false);
   if (!read.is_object() || !read.contains("attempt") ||
       !read["attempt"].is_string()) {
@@ -26,25 +26,28 @@
   const auto attempt = AttemptId::Parse(read["attempt"].get<std::string>());
   if (!attempt)
     return std::nullopt;
-  return SettleRequest{*attempt, ReadFlag(read, "cancel"),
-                       ReadFlag(read, "stop_running")};
+  return AttemptControlRequest{*attempt, ReadFlag(read, "cancel"),
+                               ReadFlag(read, "stop_running")};
 }
 
 }  // namespace
 
-SettleCalls::SettleCalls(Handler handler) : handler_(std::move(handler)) {
-  dispatcher_.Add(traffic::kSettleMethod,
-                  [this](const std::string& params) { return Settle(params); });
+AttemptControlCalls::AttemptControlCalls(Handler handler)
+    : handler_(std::move(handler)) {
+  dispatcher_.Add(traffic::kSettleMethod, [this](const std::string& params) {
+    return ControlAttempt(params);
+  });
 }
 
-net::HttpAnswer SettleCalls::Answer(const std::string& body) {
+net::HttpAnswer AttemptControlCalls::Answer(const std::string& body) {
   net::HttpAnswer answer;
   answer.headers = {{"Content-Type", "application/json"}};
   answer.body = dispatcher_.Handle(body);
   return answer;
 }
 
-std::string SettleCalls::Settle(const std::string& params) const {
+std::string AttemptControlCalls::ControlAttempt(
+    const std::string& params) const {
   const auto request = ParseRequest(params);
   if (!request)
     return "";
--- a/src/libs/gate/settle_calls.h
+++ b/src/libs/gate/attempt_control_calls.h
@@ -1,7 +1,9 @@
-// The RPC by which another node queries the state of an attempt, or cancels it.
+// The RPC attempt.settle (path /chestnutport/settle), by which another node
+// queries the state of an attempt, or cancels it. The caller is
+// ingress::AttemptControlClient.
 // Decodes the call and encodes the result; the handler carries it out.
-#ifndef GATE_SETTLE_CALLS_H_
-#define GATE_SETTLE_CALLS_H_
+#ifndef GATE_ATTEMPT_CONTROL_CALLS_H_
+#define GATE_ATTEMPT_CONTROL_CALLS_H_
 
 #include <functional>
 #include <string>
@@ -13,26 +15,26 @@
 
 namespace chestnutport::gate {
 
-struct SettleRequest {
+struct AttemptControlRequest {
   base::AttemptId attempt;
   bool cancel = true;        // Guarantees that it does not start after this.
   bool stop_running = true;  // A cancelled attempt that runs is interrupted.
 };
 
-class SettleCalls {
+class AttemptControlCalls {
  public:
   // Returns the state of the attempt after the request was carried out.
-  using Handler =
-      std::function<admission::AttemptState(const SettleRequest& request)>;
+  using Handler = std::function<admission::AttemptState(
+      const AttemptControlRequest& request)>;
 
-  explicit SettleCalls(Handler handler);
+  explicit AttemptControlCalls(Handler handler);
 
   // Returns the answer to a call; a malformed call is answered with an error.
   net::HttpAnswer Answer(const std::string& body);
 
  private:
   // Returns the result, or an empty string if the parameters are invalid.
-  std::string Settle(const std::string& params) const;
+  std::string ControlAttempt(const std::string& params) const;
 
   Handler handler_;
   rpc::Dispatcher dispatcher_;
@@ -40,4 +42,4 @@
 
 }  // namespace chestnutport::gate
 
-#endif  // GATE_SETTLE_CALLS_H_
+#endif  // GATE_ATTEMPT_CONTROL_CALLS_H_
--- a/src/libs/gate/gate.cc
+++ b/src/libs/gate/gate.cc
@@ -62,8 +62,9 @@
                      base::Clock::now());
                }}),
       outputs_(std::move(outputs)),
-      settle_calls_(
-          [this](const SettleRequest& request) { return Settle(request); }) {}
+      attempt_control_calls_([this](const AttemptControlRequest& request) {
+        return ControlAttempt(request);
+      }) {}
 
 Gate::~Gate() {
   loop_.Cancel(ticker_);
@@ -127,7 +128,7 @@
   CheckEmpty();
 }
 
-AttemptState Gate::Settle(const SettleRequest& request) {
+AttemptState Gate::ControlAttempt(const AttemptControlRequest& request) {
   return request.cancel
              ? CancelAttempt(request.attempt, request.stop_running, {})
              : admission_.State(request.attempt);
--- a/src/libs/gate/gate.h
+++ b/src/libs/gate/gate.h
@@ -13,12 +13,12 @@
 #include "admission/pause_detector.h"
 #include "base/result.h"
 #include "control_calls/peer_keys.h"
+#include "gate/attempt_control_calls.h"
 #include "gate/gate_arrival.h"
 #include "gate/gate_attempt.h"
 #include "gate/gate_log.h"
 #include "gate/gate_report.h"
 #include "gate/keyed_requests.h"
-#include "gate/settle_calls.h"
 #include "net/event_loop.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
@@ -101,7 +101,7 @@
   // move.
   bool ShouldMoveElsewhere(const wire::PeerRequestHead& head,
                            base::Instant now) const;
-  admission::AttemptState Settle(const SettleRequest& request);
+  admission::AttemptState ControlAttempt(const AttemptControlRequest& request);
   void Perform(admission::AdmissionActions actions);
   void Refuse(const base::AttemptId& id,
               base::ErrorKind error,
@@ -175,7 +175,7 @@
   quarantine::QuarantineFilter quarantine_filter_;
   Outputs outputs_;
   base::Instant reported_at_;
-  SettleCalls settle_calls_;
+  AttemptControlCalls attempt_control_calls_;
   traffic::TrafficRecorder recorder_;
   std::unique_ptr<net::HttpServer> listener_;
   absl::flat_hash_map<base::AttemptId, std::unique_ptr<GateAttempt>> attempts_;
--- a/src/libs/gate/gate_admission.cc
+++ b/src/libs/gate/gate_admission.cc
@@ -42,7 +42,7 @@
     return;
   }
   if (request.target == traffic::kSettlePath)
-    SendAnswer(reply, settle_calls_.Answer(request.body));
+    SendAnswer(reply, attempt_control_calls_.Answer(request.body));
   else
     Receive(*head, std::move(request), std::move(reply));
 }
--- a/tests/auto/admission/gate_quarantine_test.cc
+++ b/tests/auto/admission/gate_quarantine_test.cc
@@ -169,7 +169,7 @@
     REQUIRE(fixture.RunUntil([&] { return fixture.served.size() == 1; }));
     const auto waiting = fixture.BeginGuarded({kQuarantinedRequest});
     REQUIRE(fixture.RunUntil(
-        [&] { return fixture.Settle(waiting, false) == "queued"; }));
+        [&] { return fixture.ControlAttempt(waiting, false) == "queued"; }));
     fixture.SetVerdicts(SomeVerdicts());
     REQUIRE(fixture.RunUntil([&] { return fixture.results.size() == 2; }));
     CHECK(fixture.RunUntil([&] { return fixture.closed_requests == 1; }));
--- a/tests/auto/admission/gate_test.cc
+++ b/tests/auto/admission/gate_test.cc
@@ -108,7 +108,7 @@
     fixture.state.address.port = 1;
     fixture.Apply();
     CHECK(Error(fixture.Run("POST")) == "connect-failed");
-    CHECK(fixture.Settle({1, 1}, true) == "never-runs");
+    CHECK(fixture.ControlAttempt({1, 1}, true) == "never-runs");
   }
 
   SECTION("a draining server gets no new requests") {
@@ -134,7 +134,7 @@
     CHECK(fixture.InquireCapacity().answer.status ==
           traffic::kCapacityAvailable);
     CHECK(fixture.served.empty());
-    CHECK(fixture.Settle({1, 1}, false) == "unknown-here");
+    CHECK(fixture.ControlAttempt({1, 1}, false) == "unknown-here");
   }
 
   SECTION("at a full server") {
@@ -167,18 +167,19 @@
   fixture.Apply();
   const auto waiting = fixture.Begin("POST");
   REQUIRE(fixture.RunUntil(
-      [&] { return fixture.Settle(waiting, false) == "running"; }));
+      [&] { return fixture.ControlAttempt(waiting, false) == "running"; }));
 
   SECTION("never runs if it is cancelled, even if it must not be interrupted") {
-    CHECK(fixture.Settle(waiting, true, false) == "never-runs");
+    CHECK(fixture.ControlAttempt(waiting, true, false) == "never-runs");
     REQUIRE(fixture.RunUntil([&] { return fixture.results.contains(1); }));
     CHECK(Error(fixture.results[1]) == "cancelled");
   }
 
   SECTION("never runs if the sender disconnects") {
     fixture.DisconnectPeer(0);
-    CHECK(fixture.RunUntil(
-        [&] { return fixture.Settle(waiting, false) == "never-runs"; }));
+    CHECK(fixture.RunUntil([&] {
+      return fixture.ControlAttempt(waiting, false) == "never-runs";
+    }));
   }
 }
 
@@ -191,39 +192,39 @@
   REQUIRE(fixture.RunUntil([&] { return fixture.served.size() == 1; }));
   const auto queued = fixture.Begin("POST");
   REQUIRE(fixture.RunUntil(
-      [&] { return fixture.Settle(queued, false) == "queued"; }));
+      [&] { return fixture.ControlAttempt(queued, false) == "queued"; }));
 
   SECTION("can be queried") {
-    CHECK(fixture.Settle(running, false) == "running");
-    CHECK(fixture.Settle({1, 99}, false) == "unknown-here");
+    CHECK(fixture.ControlAttempt(running, false) == "running");
+    CHECK(fixture.ControlAttempt({1, 99}, false) == "unknown-here");
   }
 
   SECTION("never runs if it is cancelled in the queue") {
-    CHECK(fixture.Settle(queued, true) == "never-runs");
+    CHECK(fixture.ControlAttempt(queued, true) == "never-runs");
     REQUIRE(fixture.RunUntil([&] { return fixture.results.contains(2); }));
     CHECK(Error(fixture.results[2]) == "cancelled");
     CHECK(fixture.served.size() == 1);
   }
 
   SECTION("is interrupted if it is cancelled while it runs") {
-    CHECK(fixture.Settle(running, true) == "running");
+    CHECK(fixture.ControlAttempt(running, true) == "running");
     CHECK(fixture.RunUntil([&] { return fixture.closed_requests == 1; }));
     CHECK(Outcome(fixture.results[1]) == "unknown");
-    CHECK(fixture.Settle(running, false) == "finished");
+    CHECK(fixture.ControlAttempt(running, false) == "finished");
     CHECK(fixture.RunUntil([&] { return fixture.served.size() == 2; }));
   }
 
   SECTION("leaves the queue if the sender disconnects") {
     fixture.DisconnectPeer(1);
     CHECK(fixture.RunUntil(
-        [&] { return fixture.Settle(queued, false) == "never-runs"; }));
+        [&] { return fixture.ControlAttempt(queued, false) == "never-runs"; }));
   }
 
   SECTION(
       "is not interrupted if the sender disconnects and it may have side "
       "effects") {
     fixture.DisconnectPeer(0);
-    CHECK(fixture.Settle(running, false) == "running");
+    CHECK(fixture.ControlAttempt(running, false) == "running");
     CHECK(fixture.closed_requests == 0);
   }
 
--- a/tests/auto/gate/settle_calls_test.cc
+++ b/tests/auto/gate/settle_calls_test.cc
@@ -1,5 +1,5 @@
 // The RPC that queries or cancels an attempt.
-#include "gate/settle_calls.h"
+#include "gate/attempt_control_calls.h"
 
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
@@ -15,9 +15,9 @@
 using nlohmann::json;
 
 TEST_CASE("a call of another node is decoded and answered") {
-  std::optional<SettleRequest> asked;
+  std::optional<AttemptControlRequest> asked;
   AttemptState state = AttemptState::kNeverRuns;
-  SettleCalls calls([&](const SettleRequest& request) {
+  AttemptControlCalls calls([&](const AttemptControlRequest& request) {
     asked = request;
     return state;
   });
--- a/tests/support/gate_fixture.cc
+++ b/tests/support/gate_fixture.cc
@@ -144,9 +144,9 @@
   return results[id];
 }
 
-std::string GateFixture::Settle(const base::AttemptId& attempt,
-                                bool cancel,
-                                bool stop_running) {
+std::string GateFixture::ControlAttempt(const base::AttemptId& attempt,
+                                        bool cancel,
+                                        bool stop_running) {
   std::string reported = "none";
   wire::PeerRequestHead head;
   head.attempt = attempt;
@@ -167,7 +167,7 @@
                reported = nlohmann::json::parse(text)["state"];
              });
   if (!RunUntil([&] { return reported != "none"; }))
-    throw std::runtime_error("the settle call was not answered");
+    throw std::runtime_error("the attempt.settle call was not answered");
   return reported;
 }
 
--- a/tests/support/gate_fixture.h
+++ b/tests/support/gate_fixture.h
@@ -51,9 +51,9 @@
   // Starts an attempt and waits for its result.
   net::TransferResult Run(const std::string& method);
   // Queries or cancels the attempt and returns its state.
-  std::string Settle(const base::AttemptId& attempt,
-                     bool cancel,
-                     bool stop_running = true);
+  std::string ControlAttempt(const base::AttemptId& attempt,
+                             bool cancel,
+                             bool stop_running = true);
   // Closes the peer's connection.
   void DisconnectPeer(size_t transfer) { peer_.Cancel(transfers.at(transfer)); }
 
