--- a/src/libs/gate/gate_admission.cc
+++ b/src/libs/gate/gate_admission.cc
@@ -151,7 +151,8 @@
   const bool has_key = KeyedRequests::HasKey(arrival.request);
   if (!is_new || has_key)
     return std::nullopt;
-  return quarantine_filter_.Judge({head.fingerprint, head.is_suspect}, now);
+  return quarantine_filter_.FindRejection({head.fingerprint, head.is_suspect},
+                                          now);
 }
 
 void Gate::AnswerInquiry(const admission::Arrival& asked, net::Reply& reply) {
--- a/src/libs/gate/gate_serving.cc
+++ b/src/libs/gate/gate_serving.cc
@@ -44,7 +44,7 @@
     return quarantine::QuarantineRejection{ErrorKind::kKeyRecordUnavailable,
                                            {}};
   // The verdict may have changed while the attempt was queued.
-  return quarantine_filter_.Judge(attempt.guarded, now);
+  return quarantine_filter_.FindRejection(attempt.guarded, now);
 }
 
 void Gate::SendToServer(GateAttempt& attempt, base::Instant now) {
@@ -178,7 +178,8 @@
   const base::Instant now = base::Clock::now();
   std::vector<std::pair<AttemptId, base::Duration>> quarantined;
   for (const auto& [id, attempt] : attempts_) {
-    const auto refusal = quarantine_filter_.Judge(attempt->guarded, now);
+    const auto refusal =
+        quarantine_filter_.FindRejection(attempt->guarded, now);
     if (refusal && refusal->error == ErrorKind::kRequestQuarantined)
       quarantined.emplace_back(id, refusal->retry_after);
   }
--- a/src/libs/quarantine/quarantine_filter.cc
+++ b/src/libs/quarantine/quarantine_filter.cc
@@ -38,7 +38,7 @@
   return answered;
 }
 
-std::optional<QuarantineRejection> QuarantineFilter::Judge(
+std::optional<QuarantineRejection> QuarantineFilter::FindRejection(
     const IncomingRequest& request,
     Instant now) const {
   const VerdictUntil verdict = verdicts_->Of(request.fingerprint);
--- a/src/libs/quarantine/quarantine_filter.h
+++ b/src/libs/quarantine/quarantine_filter.h
@@ -50,8 +50,9 @@
                                                     base::Instant now);
 
   // Returns nothing if the server may run the request now.
-  std::optional<QuarantineRejection> Judge(const IncomingRequest& request,
-                                           base::Instant now) const;
+  std::optional<QuarantineRejection> FindRejection(
+      const IncomingRequest& request,
+      base::Instant now) const;
   // Called when the request has been sent to the server.
   void OnStarted(const base::AttemptId& attempt,
                  const IncomingRequest& request);
--- a/tests/auto/quarantine/crash_simulation.cc
+++ b/tests/auto/quarantine/crash_simulation.cc
@@ -132,8 +132,8 @@
     return;
   }
   call.tried.push_back(server->node);
-  if (const auto rejection =
-          server->filter.Judge({call.fingerprint, IsSuspect(call)}, now_))
+  if (const auto rejection = server->filter.FindRejection(
+          {call.fingerprint, IsSuspect(call)}, now_))
     OnRejected(id, rejection->error);
   else
     StartAttempt(id, *server);
--- a/tests/auto/quarantine/gate_guard_test.cc
+++ b/tests/auto/quarantine/gate_guard_test.cc
@@ -31,39 +31,40 @@
   guard.SetVerdicts(SomeVerdicts(), 1, kStart);
 
   SECTION("a request without a verdict is admitted") {
-    CHECK_FALSE(guard.Judge({kOther}, kStart));
+    CHECK_FALSE(guard.FindRejection({kOther}, kStart));
   }
 
   SECTION("a quarantined request is rejected until its quarantine ends") {
-    const auto refusal = guard.Judge({kHeld}, kStart + seconds(10));
+    const auto refusal = guard.FindRejection({kHeld}, kStart + seconds(10));
     REQUIRE(refusal);
     CHECK(refusal->error == ErrorKind::kRequestQuarantined);
     CHECK(refusal->retry_after == seconds(50));
   }
 
   SECTION("one suspect runs at a time") {
-    CHECK_FALSE(guard.Judge({kSuspect}, kStart));
+    CHECK_FALSE(guard.FindRejection({kSuspect}, kStart));
     guard.OnStarted({1, 1}, {kSuspect});
-    CHECK(guard.Judge({{4}}, kStart)->error == ErrorKind::kRequestSuspected);
-    CHECK(guard.Judge({kSuspect}, kStart));
-    CHECK_FALSE(guard.Judge({kOther}, kStart));
+    CHECK(guard.FindRejection({{4}}, kStart)->error ==
+          ErrorKind::kRequestSuspected);
+    CHECK(guard.FindRejection({kSuspect}, kStart));
+    CHECK_FALSE(guard.FindRejection({kOther}, kStart));
     SECTION("and the next one once its attempt is over, answered or not") {
       guard.OnEnded({1, 1}, kSuspect, std::nullopt, kStart);
-      CHECK_FALSE(guard.Judge({{4}}, kStart));
+      CHECK_FALSE(guard.FindRejection({{4}}, kStart));
     }
   }
 
   SECTION("a request that the sending node marks as a suspect is one") {
     guard.OnStarted({1, 1}, {kOther, true});
-    CHECK(guard.Judge({{4}}, kStart));
-    CHECK(guard.Judge({{5}, true}, kStart));
+    CHECK(guard.FindRejection({{4}}, kStart));
+    CHECK(guard.FindRejection({{5}, true}, kStart));
   }
 
   SECTION("a request that started before its verdict is a suspect") {
     QuarantineFilter earlier;
     earlier.OnStarted({1, 1}, {kSuspect});
     earlier.SetVerdicts(SomeVerdicts(), 1, kStart);
-    CHECK(earlier.Judge({{4}}, kStart));
+    CHECK(earlier.FindRejection({{4}}, kStart));
   }
 
   SECTION("a new suspect that the server had answered is reported") {
