--- a/src/libs/fleet_configuration/configuration_reader.h
+++ b/src/libs/fleet_configuration/configuration_reader.h
@@ -30,7 +30,7 @@
   struct FleetCallbacks {
     // Returns the time of the last message from any other node; nothing if
     // there was none.
-    std::function<std::optional<base::Instant>()> heard_at;
+    std::function<std::optional<base::Instant>()> last_contact;
     // Informs the other nodes that this node has lost the store, or can reach
     // it again.
     std::function<void(bool has_lost)> report_store_lost;
--- a/src/libs/gate/gate.cc
+++ b/src/libs/gate/gate.cc
@@ -62,8 +62,9 @@
                      base::Clock::now());
                }}),
       outputs_(std::move(outputs)),
-      settle_calls_(
-          [this](const SettleRequest& request) { return Settle(request); }) {}
+      attempt_control_calls_([this](const AttemptControlRequest& request) {
+        return ControlAttempt(request);
+      }) {}
 
 Gate::~Gate() {
   loop_.Cancel(ticker_);
@@ -110,8 +111,8 @@
 }
 
 void Gate::SetVerdicts(quarantine::SharedVerdicts verdicts) {
-  const auto answered =
-      guard_.SetVerdicts(std::move(verdicts), server_.life, base::Clock::now());
+  const auto answered = quarantine_filter_.SetVerdicts(
+      std::move(verdicts), server_.life, base::Clock::now());
   for (const base::RequestFingerprint& fingerprint : answered)
     outputs_.suspect_answered(fingerprint);
   CancelQuarantined();
@@ -127,7 +128,7 @@
   CheckEmpty();
 }
 
-AttemptState Gate::Settle(const SettleRequest& request) {
+AttemptState Gate::ControlAttempt(const AttemptControlRequest& request) {
   return request.cancel
              ? CancelAttempt(request.attempt, request.stop_running, {})
              : admission_.State(request.attempt);
@@ -186,8 +187,8 @@
   const base::Instant now = loop_.now();
   decision.instance = server_.instance;
   decision.load = admission_.Load(now);
-  decision.slowness = observer_.pace().Slowness(now);
-  decision.failure_share = observer_.pace().FailureShare(now);
+  decision.slowness = observer_.performance().Slowness(now);
+  decision.failure_share = observer_.performance().FailureShare(now);
   LogGateDecision(decision);
 }
 
@@ -198,7 +199,7 @@
 
 void Gate::AddLoad(net::HttpAnswer& answer) const {
   wire::LoadReport load = admission_.Load(loop_.now());
-  load.strain = observer_.pace().KnownStrain(loop_.now());
+  load.strain = observer_.performance().KnownStrain(loop_.now());
   answer.headers.push_back({wire::kLoadHeader, load.ToHeader()});
 }
 
@@ -229,14 +230,14 @@
   reported_at_ = now;
   const admission::ProbeScheduler& probes = observer_.probes();
   wire::LoadReport load = admission_.Load(now);
-  load.strain = observer_.pace().KnownStrain(now);
+  load.strain = observer_.performance().KnownStrain(now);
   outputs_.report(
       {.life = server_.life,
        .cold_until = admission_.cold_limiter().cold_until(),
        .last_answer = observer_.last_answer(),
        .load = load,
        .slowness_report_age =
-           observer_.pace().SlownessAge(now).value_or(base::Duration()),
+           observer_.performance().SlownessAge(now).value_or(base::Duration()),
        .probes = probes.probes(),
        .probe_time = probes.spent()});
 }
--- a/src/libs/membership/gossip.h
+++ b/src/libs/membership/gossip.h
@@ -93,7 +93,7 @@
   const GossipCounters& counters() const { return counters_; }
   // When the last message from another member was received; nothing if none
   // was.
-  std::optional<base::Instant> heard_at() const { return heard_at_; }
+  std::optional<base::Instant> last_contact() const { return last_contact_; }
   const evacuation::Evacuations& evacuations() const {
     return evacuations_.current();
   }
@@ -136,7 +136,7 @@
   void UpdateTimers(base::Instant now, const MemberEntry& entry);
   void ReplaceEntry(MemberEntry entry, GossipOutput& output);
 
-  // gossip_telling.cc: building and sending messages.
+  // gossip_sending.cc: building and sending messages.
   void EnqueueUpdate(base::Instant now, base::NodeId id, bool with_record);
   MemberUpdate MakeUpdate(const MemberEntry& entry, bool with_record) const;
   GossipMessage MakeMessage(MessageType type, base::NodeId subject) const;
@@ -223,7 +223,7 @@
   ByteRateLimiter budget_;
   ByteRateLimiter acks_;
   GossipCounters counters_;
-  std::optional<base::Instant> heard_at_;
+  std::optional<base::Instant> last_contact_;
   bool has_left_ = false;
 
   uint32_t last_sequence_;
--- a/tests/auto/quarantine/gate_guard_test.cc
+++ b/tests/auto/quarantine/gate_guard_test.cc
@@ -32,40 +32,41 @@
   filter.SetVerdicts(SomeVerdicts(), 1, kStart);
 
   SECTION("a request without a verdict is admitted") {
-    CHECK_FALSE(filter.Judge({kOther}, kStart));
+    CHECK_FALSE(filter.FindRejection({kOther}, kStart));
   }
 
   SECTION("a quarantined request is rejected until its quarantine ends") {
     const auto rejection =
-        filter.Judge({kQuarantinedRequest}, kStart + seconds(10));
+        filter.FindRejection({kQuarantinedRequest}, kStart + seconds(10));
     REQUIRE(rejection);
     CHECK(rejection->error == ErrorKind::kRequestQuarantined);
     CHECK(rejection->retry_after == seconds(50));
   }
 
   SECTION("one suspect runs at a time") {
-    CHECK_FALSE(filter.Judge({kSuspect}, kStart));
+    CHECK_FALSE(filter.FindRejection({kSuspect}, kStart));
     filter.OnStarted({1, 1}, {kSuspect});
-    CHECK(filter.Judge({{4}}, kStart)->error == ErrorKind::kRequestSuspected);
-    CHECK(filter.Judge({kSuspect}, kStart));
-    CHECK_FALSE(filter.Judge({kOther}, kStart));
+    CHECK(filter.FindRejection({{4}}, kStart)->error ==
+          ErrorKind::kRequestSuspected);
+    CHECK(filter.FindRejection({kSuspect}, kStart));
+    CHECK_FALSE(filter.FindRejection({kOther}, kStart));
     SECTION("and the next one once its attempt is over, answered or not") {
       filter.OnEnded({1, 1}, kSuspect, std::nullopt, kStart);
-      CHECK_FALSE(filter.Judge({{4}}, kStart));
+      CHECK_FALSE(filter.FindRejection({{4}}, kStart));
     }
   }
 
   SECTION("a request that the sending node marks as a suspect is one") {
     filter.OnStarted({1, 1}, {kOther, true});
-    CHECK(filter.Judge({{4}}, kStart));
-    CHECK(filter.Judge({{5}, true}, kStart));
+    CHECK(filter.FindRejection({{4}}, kStart));
+    CHECK(filter.FindRejection({{5}, true}, kStart));
   }
 
   SECTION("a request that started before its verdict is a suspect") {
     QuarantineFilter earlier;
     earlier.OnStarted({1, 1}, {kSuspect});
     earlier.SetVerdicts(SomeVerdicts(), 1, kStart);
-    CHECK(earlier.Judge({{4}}, kStart));
+    CHECK(earlier.FindRejection({{4}}, kStart));
   }
 
   SECTION("a new suspect that the server had answered is reported") {
