--- a/src/app/chestnutport/command_check.cc
+++ b/src/app/chestnutport/command_check.cc
@@ -37,17 +37,17 @@
 
 }  // namespace
 
-ExitCode Check(const CommandContext& context, const Words& words) {
+ExitCode Check(const CommandContext& context, const Arguments& args) {
   const bool has_settings = !context.settings_file.empty();
-  if (words.size() > 1 || (words.empty() && !has_settings)) {
+  if (args.size() > 1 || (args.empty() && !has_settings)) {
     std::cerr << HelpText("check");
     return kExitUsage;
   }
   settings::Problems problems;
   if (has_settings)
     CheckSettings(context.settings_file, problems);
-  if (!words.empty())
-    ReadFolder(words[0], problems);
+  if (!args.empty())
+    ReadFolder(args[0], problems);
   Print(context, problems);
   return problems.empty() ? kExitDone : kExitUsage;
 }
--- a/src/app/chestnutport/command_confirm.cc
+++ b/src/app/chestnutport/command_confirm.cc
@@ -13,10 +13,10 @@
 
 using nlohmann::json;
 
-constexpr std::chrono::milliseconds kBetweenQuestions(100);
+constexpr std::chrono::milliseconds kPollInterval(100);
 
-bool IsEverywhere(const json& survey, uint64_t revision) {
-  for (const json& node : survey.at("nodes")) {
+bool IsInForceEverywhere(const json& revisions, uint64_t revision) {
+  for (const json& node : revisions.at("nodes")) {
     if (!node.at("revision").is_number() ||
         node.at("revision").get<uint64_t>() < revision) {
       return false;
@@ -28,11 +28,12 @@
 ExitCode WaitUntilInForce(const CommandContext& context, uint64_t revision) {
   const base::Instant start = base::Clock::now();
   while (true) {
-    const ApiAnswer survey = CallApi(context, "GET", "/v1/revisions", "");
+    const ApiAnswer revisions = CallApi(context, "GET", "/v1/revisions", "");
     const base::Duration taken = base::Clock::now() - start;
-    if (survey.exit_code == kExitDone && IsEverywhere(survey.body, revision)) {
+    if (revisions.exit_code == kExitDone &&
+        IsInForceEverywhere(revisions.body, revision)) {
       if (!context.json) {
-        std::cout << "In force on all " << survey.body.at("nodes").size()
+        std::cout << "In force on all " << revisions.body.at("nodes").size()
                   << " nodes after "
                   << std::chrono::duration<double>(taken).count() << " s\n";
       }
@@ -42,23 +43,23 @@
       std::cerr << "chestnutport: not yet in force on all nodes; see status\n";
       return kExitNotEverywhere;
     }
-    std::this_thread::sleep_for(kBetweenQuestions);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
 }  // namespace
 
-ExitCode Confirm(const CommandContext& context, const Words& words) {
-  if (words.size() != 2 || !configuration::BaseRevision(words[0])) {
+ExitCode Confirm(const CommandContext& context, const Arguments& args) {
+  if (args.size() != 2 || !configuration::BaseRevision(args[0])) {
     std::cerr << HelpText("confirm");
     return kExitUsage;
   }
   settings::Problems problems;
-  const auto texts = ReadFolder(words[1], problems);
+  const auto texts = ReadFolder(args[1], problems);
   PrintProblems(problems);
   if (!problems.empty())
     return kExitUsage;
-  const json body = {{"plan", words[0]}, {"services", texts}};
+  const json body = {{"plan", args[0]}, {"services", texts}};
   const ApiAnswer answer = CallApi(context, "POST", "/v1/confirm", body.dump());
   if (!PrintJsonOrError(context, answer)) {
     const bool again = answer.body.at("again").get<bool>();
--- a/src/app/chestnutport/command_drain.cc
+++ b/src/app/chestnutport/command_drain.cc
@@ -9,15 +9,16 @@
 
 using nlohmann::json;
 
-ExitCode Run(const CommandContext& context,
-             const std::string& call,
-             const Words& words) {
-  if (words.size() > 1) {
-    std::cerr << HelpText(call);
+ExitCode ChangeDrain(const CommandContext& context,
+                     const std::string& command,
+                     const Arguments& args) {
+  if (args.size() > 1) {
+    std::cerr << HelpText(command);
     return kExitUsage;
   }
-  const json body = words.empty() ? json::object() : json{{"node", words[0]}};
-  const ApiAnswer answer = CallApi(context, "POST", "/v1/" + call, body.dump());
+  const json body = args.empty() ? json::object() : json{{"node", args[0]}};
+  const ApiAnswer answer =
+      CallApi(context, "POST", "/v1/" + command, body.dump());
   if (!PrintJsonOrError(context, answer)) {
     const bool draining = answer.body.at("draining").get<bool>();
     std::cout << answer.body.at("name").get<std::string>()
@@ -28,12 +29,12 @@
 
 }  // namespace
 
-ExitCode Drain(const CommandContext& context, const Words& words) {
-  return Run(context, "drain", words);
+ExitCode Drain(const CommandContext& context, const Arguments& args) {
+  return ChangeDrain(context, "drain", args);
 }
 
-ExitCode Undrain(const CommandContext& context, const Words& words) {
-  return Run(context, "undrain", words);
+ExitCode Undrain(const CommandContext& context, const Arguments& args) {
+  return ChangeDrain(context, "undrain", args);
 }
 
 }  // namespace chestnutport::cli
--- a/src/app/chestnutport/command_evacuation.cc
+++ b/src/app/chestnutport/command_evacuation.cc
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-std::string ListOf(const json& data_centres) {
+std::string JoinNames(const json& data_centres) {
   std::string text;
   for (const json& name : data_centres)
     absl::StrAppend(&text, text.empty() ? "" : ", ", name.get<std::string>());
@@ -18,22 +18,22 @@
 }
 
 // Without a plan among the words, shows one; with it, confirms it.
-ExitCode Change(const CommandContext& context,
-                const std::string& command,
-                const Words& words) {
-  if (words.empty() || words.size() > 2) {
+ExitCode PlanOrConfirm(const CommandContext& context,
+                       const std::string& command,
+                       const Arguments& args) {
+  if (args.empty() || args.size() > 2) {
     std::cerr << HelpText(command);
     return kExitUsage;
   }
-  json body = {{"data_centre", words[0]}, {"evacuated", command == "evacuate"}};
-  if (words.size() > 1)
-    body["plan"] = words[1];
+  json body = {{"data_centre", args[0]}, {"evacuated", command == "evacuate"}};
+  if (args.size() > 1)
+    body["plan"] = args[1];
   const ApiAnswer answer =
       CallApi(context, "POST", "/v1/evacuate", body.dump());
   if (PrintJsonOrError(context, answer))
     return answer.exit_code;
-  if (words.size() > 1) {
-    std::cout << "evacuated: " << ListOf(answer.body.at("data_centres"))
+  if (args.size() > 1) {
+    std::cout << "evacuated: " << JoinNames(answer.body.at("data_centres"))
               << "\n";
     return answer.exit_code;
   }
@@ -43,30 +43,30 @@
                       {"AFTERWARDS", "servers_after"}},
                      answer.body.at("services"))
             << "Nothing is changed yet. To confirm:\n  chestnutport " << command
-            << " " << words[0] << " " << plan << "\n";
+            << " " << args[0] << " " << plan << "\n";
   return answer.exit_code;
 }
 
 }  // namespace
 
-ExitCode Evacuations(const CommandContext& context, const Words& words) {
-  if (!words.empty()) {
+ExitCode Evacuations(const CommandContext& context, const Arguments& args) {
+  if (!args.empty()) {
     std::cerr << HelpText("evacuations");
     return kExitUsage;
   }
   const ApiAnswer answer = CallApi(context, "GET", "/v1/evacuations", "");
   if (!PrintJsonOrError(context, answer))
-    std::cout << "evacuated: " << ListOf(answer.body.at("data_centres"))
+    std::cout << "evacuated: " << JoinNames(answer.body.at("data_centres"))
               << "\n";
   return answer.exit_code;
 }
 
-ExitCode Evacuate(const CommandContext& context, const Words& words) {
-  return Change(context, "evacuate", words);
+ExitCode Evacuate(const CommandContext& context, const Arguments& args) {
+  return PlanOrConfirm(context, "evacuate", args);
 }
 
-ExitCode Readmit(const CommandContext& context, const Words& words) {
-  return Change(context, "readmit", words);
+ExitCode Readmit(const CommandContext& context, const Arguments& args) {
+  return PlanOrConfirm(context, "readmit", args);
 }
 
 }  // namespace chestnutport::cli
--- a/src/app/chestnutport/command_explain.cc
+++ b/src/app/chestnutport/command_explain.cc
@@ -7,16 +7,16 @@
 
 namespace chestnutport::cli {
 
-ExitCode Explain(const CommandContext& /*context*/, const Words& words) {
-  if (words.size() < 2) {
+ExitCode Explain(const CommandContext& /*context*/, const Arguments& args) {
+  if (args.size() < 2) {
     std::cerr << HelpText("explain");
     return kExitUsage;
   }
-  telemetry::RequestStory story(words[0]);
-  for (size_t i = 1; i < words.size(); ++i) {
-    std::ifstream file(words[i]);
+  telemetry::RequestStory story(args[0]);
+  for (size_t i = 1; i < args.size(); ++i) {
+    std::ifstream file(args[i]);
     if (!file) {
-      std::cerr << "chestnutport: cannot read " << words[i] << "\n";
+      std::cerr << "chestnutport: cannot read " << args[i] << "\n";
       return kExitUsage;
     }
     for (std::string line; std::getline(file, line);)
--- a/src/app/chestnutport/command_history.cc
+++ b/src/app/chestnutport/command_history.cc
@@ -6,8 +6,8 @@
 
 namespace chestnutport::cli {
 
-ExitCode History(const CommandContext& context, const Words& words) {
-  if (!words.empty()) {
+ExitCode History(const CommandContext& context, const Arguments& args) {
+  if (!args.empty()) {
     std::cerr << HelpText("history");
     return kExitUsage;
   }
--- a/src/app/chestnutport/command_metrics.cc
+++ b/src/app/chestnutport/command_metrics.cc
@@ -15,7 +15,7 @@
 constexpr double kBarLength = 50;
 
 // "3.4ms": three digits and the unit that suits.
-std::string Duration(double seconds) {
+std::string DurationText(double seconds) {
   if (seconds < 1e-3)
     return absl::StrFormat("%.3gus", seconds * 1e6);
   if (seconds < 1)
@@ -24,19 +24,22 @@
 }
 
 std::string Quantile(const json& row, const char* name, const char* field) {
-  return absl::StrCat("  ", name, " ", Duration(row.at(field).get<double>()));
+  return absl::StrCat("  ", name, " ",
+                      DurationText(row.at(field).get<double>()));
 }
 
 // A line a bucket: its upper end, a bar, and the count.
 void PrintBars(const json& buckets) {
-  uint64_t most = 1;
+  uint64_t max_count = 1;
   for (const json& bucket : buckets)
-    most = std::max(most, bucket.at(1).get<uint64_t>());
+    max_count = std::max(max_count, bucket.at(1).get<uint64_t>());
   for (const json& bucket : buckets) {
     const auto count = bucket.at(1).get<uint64_t>();
-    const std::string end =
-        bucket.at(0).is_null() ? "more" : Duration(bucket.at(0).get<double>());
-    const double share = static_cast<double>(count) / static_cast<double>(most);
+    const std::string end = bucket.at(0).is_null()
+                                ? "more"
+                                : DurationText(bucket.at(0).get<double>());
+    const double share =
+        static_cast<double>(count) / static_cast<double>(max_count);
     const auto length =
         std::max<size_t>(1, static_cast<size_t>(share * kBarLength));
     std::cout << absl::StreamFormat("  %8s %s %d\n", end,
@@ -59,8 +62,8 @@
 
 }  // namespace
 
-ExitCode Metrics(const CommandContext& context, const Words& words) {
-  if (!words.empty()) {
+ExitCode Metrics(const CommandContext& context, const Arguments& args) {
+  if (!args.empty()) {
     std::cerr << HelpText("metrics");
     return kExitUsage;
   }
--- a/src/app/chestnutport/command_plan.cc
+++ b/src/app/chestnutport/command_plan.cc
@@ -41,20 +41,20 @@
 
 }  // namespace
 
-ExitCode Plan(const CommandContext& context, const Words& words) {
-  if (words.size() != 1) {
+ExitCode Plan(const CommandContext& context, const Arguments& args) {
+  if (args.size() != 1) {
     std::cerr << HelpText("plan");
     return kExitUsage;
   }
   settings::Problems problems;
-  const auto texts = ReadFolder(words[0], problems);
+  const auto texts = ReadFolder(args[0], problems);
   PrintProblems(problems);
   if (!problems.empty())
     return kExitUsage;
   const json body = {{"services", texts}};
   const ApiAnswer answer = CallApi(context, "POST", "/v1/plan", body.dump());
   if (!PrintJsonOrError(context, answer))
-    PrintPlan(answer.body, words[0]);
+    PrintPlan(answer.body, args[0]);
   // A plan changes nothing, whatever became of it.
   return answer.exit_code == kExitUnknown ? kExitUnreachable : answer.exit_code;
 }
--- a/src/app/chestnutport/command_quarantine.cc
+++ b/src/app/chestnutport/command_quarantine.cc
@@ -11,7 +11,7 @@
 using nlohmann::json;
 
 // The ends of servers in one text: where, how long ago, after how long a run.
-std::string EndsOf(const json& request) {
+std::string FormatCrashes(const json& request) {
   std::string text;
   for (const json& end : request.at("ends")) {
     absl::StrAppend(&text, text.empty() ? "" : ", ",
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-ExitCode Quarantine(const CommandContext& context, const Words& words) {
-  if (!words.empty()) {
+ExitCode Quarantine(const CommandContext& context, const Arguments& args) {
+  if (!args.empty()) {
     std::cerr << HelpText("quarantine");
     return kExitUsage;
   }
@@ -33,7 +33,7 @@
   if (!PrintJsonOrError(context, answer)) {
     json requests = answer.body.at("requests");
     for (json& request : requests)
-      request["servers"] = EndsOf(request);
+      request["servers"] = FormatCrashes(request);
     std::cout << Table({{"FINGERPRINT", "fingerprint"},
                         {"VERDICT", "verdict"},
                         {"FOR", "for"},
@@ -43,15 +43,15 @@
   return answer.exit_code;
 }
 
-ExitCode Release(const CommandContext& context, const Words& words) {
-  if (words.size() != 1) {
+ExitCode Release(const CommandContext& context, const Arguments& args) {
+  if (args.size() != 1) {
     std::cerr << HelpText("release");
     return kExitUsage;
   }
   const ApiAnswer answer = CallApi(context, "POST", "/v1/release",
-                                   json{{"fingerprint", words[0]}}.dump());
+                                   json{{"fingerprint", args[0]}}.dump());
   if (!PrintJsonOrError(context, answer))
-    std::cout << words[0] << " runs like any other request\n";
+    std::cout << args[0] << " runs like any other request\n";
   return answer.exit_code;
 }
 
--- a/src/app/chestnutport/command_servers.cc
+++ b/src/app/chestnutport/command_servers.cc
@@ -11,7 +11,7 @@
 using nlohmann::json;
 
 // The members that have a server, by service and name.
-json ServersOf(const json& members) {
+json MembersWithServer(const json& members) {
   std::vector<json> servers;
   for (json member : members) {
     if (!member.contains("service"))
@@ -31,14 +31,14 @@
 
 }  // namespace
 
-ExitCode Servers(const CommandContext& context, const Words& words) {
-  if (!words.empty()) {
+ExitCode Servers(const CommandContext& context, const Arguments& args) {
+  if (!args.empty()) {
     std::cerr << HelpText("servers");
     return kExitUsage;
   }
   ApiAnswer answer = CallApi(context, "GET", "/v1/status", "");
   if (answer.exit_code == kExitDone)
-    answer.body = {{"servers", ServersOf(answer.body.at("members"))}};
+    answer.body = {{"servers", MembersWithServer(answer.body.at("members"))}};
   if (!PrintJsonOrError(context, answer)) {
     std::cout << Table({{"SERVICE", "service"},
                         {"NAME", "name"},
--- a/src/app/chestnutport/command_status.cc
+++ b/src/app/chestnutport/command_status.cc
@@ -6,8 +6,8 @@
 
 namespace chestnutport::cli {
 
-ExitCode Status(const CommandContext& context, const Words& words) {
-  if (!words.empty()) {
+ExitCode Status(const CommandContext& context, const Arguments& args) {
+  if (!args.empty()) {
     std::cerr << HelpText("status");
     return kExitUsage;
   }
--- a/src/app/chestnutport/commands.cc
+++ b/src/app/chestnutport/commands.cc
@@ -98,22 +98,22 @@
   return text;
 }
 
-ExitCode RunCommand(const CommandContext& context, const Words& words) {
-  if (words[0] == "help") {
-    std::cout << HelpText(words.size() > 1 ? words[1] : "");
+ExitCode RunCommand(const CommandContext& context, const Arguments& args) {
+  if (args[0] == "help") {
+    std::cout << HelpText(args.size() > 1 ? args[1] : "");
     return kExitDone;
   }
-  const Command* command = Find(words[0]);
+  const Command* command = Find(args[0]);
   if (!command) {
-    std::cerr << "chestnutport: unknown command '" << words[0]
+    std::cerr << "chestnutport: unknown command '" << args[0]
               << "'; see chestnutport help\n";
     return kExitUsage;
   }
   try {
-    return command->run(context, Words(words.begin() + 1, words.end()));
-  } catch (const std::exception& fault) {
+    return command->run(context, Arguments(args.begin() + 1, args.end()));
+  } catch (const std::exception& error) {
     // Also a write may have got this far.
-    std::cerr << "chestnutport: cannot read the node's answer: " << fault.what()
+    std::cerr << "chestnutport: cannot read the node's answer: " << error.what()
               << "\n";
     return kExitUnknown;
   }
--- a/src/app/chestnutport/commands.h
+++ b/src/app/chestnutport/commands.h
@@ -13,7 +13,7 @@
 
 namespace chestnutport::cli {
 
-using Words = std::vector<std::string>;
+using Arguments = std::vector<std::string>;
 
 struct CommandContext {
   base::SocketAddress node;
@@ -30,7 +30,7 @@
   std::string_view arguments;
   std::string_view help;
   // `words` are the arguments, without the command's name.
-  ExitCode (*run)(const CommandContext& context, const Words& words);
+  ExitCode (*run)(const CommandContext& context, const Arguments& args);
 };
 
 // All commands, in the order of the help.
@@ -41,23 +41,23 @@
 
 // Runs the command named by the first of `words`, the others being its
 // arguments; writes to standard output and error.
-ExitCode RunCommand(const CommandContext& context, const Words& words);
+ExitCode RunCommand(const CommandContext& context, const Arguments& args);
 
-ExitCode Check(const CommandContext& context, const Words& words);
-ExitCode Plan(const CommandContext& context, const Words& words);
-ExitCode Confirm(const CommandContext& context, const Words& words);
-ExitCode History(const CommandContext& context, const Words& words);
-ExitCode Metrics(const CommandContext& context, const Words& words);
-ExitCode Status(const CommandContext& context, const Words& words);
-ExitCode Servers(const CommandContext& context, const Words& words);
-ExitCode Drain(const CommandContext& context, const Words& words);
-ExitCode Explain(const CommandContext& context, const Words& words);
-ExitCode Quarantine(const CommandContext& context, const Words& words);
-ExitCode Release(const CommandContext& context, const Words& words);
-ExitCode Evacuations(const CommandContext& context, const Words& words);
-ExitCode Evacuate(const CommandContext& context, const Words& words);
-ExitCode Readmit(const CommandContext& context, const Words& words);
-ExitCode Undrain(const CommandContext& context, const Words& words);
+ExitCode Check(const CommandContext& context, const Arguments& args);
+ExitCode Plan(const CommandContext& context, const Arguments& args);
+ExitCode Confirm(const CommandContext& context, const Arguments& args);
+ExitCode History(const CommandContext& context, const Arguments& args);
+ExitCode Metrics(const CommandContext& context, const Arguments& args);
+ExitCode Status(const CommandContext& context, const Arguments& args);
+ExitCode Servers(const CommandContext& context, const Arguments& args);
+ExitCode Drain(const CommandContext& context, const Arguments& args);
+ExitCode Explain(const CommandContext& context, const Arguments& args);
+ExitCode Quarantine(const CommandContext& context, const Arguments& args);
+ExitCode Release(const CommandContext& context, const Arguments& args);
+ExitCode Evacuations(const CommandContext& context, const Arguments& args);
+ExitCode Evacuate(const CommandContext& context, const Arguments& args);
+ExitCode Readmit(const CommandContext& context, const Arguments& args);
+ExitCode Undrain(const CommandContext& context, const Arguments& args);
 
 }  // namespace chestnutport::cli
 
--- a/src/app/chestnutport/main.cc
+++ b/src/app/chestnutport/main.cc
@@ -30,7 +30,7 @@
 constexpr std::string_view kFlags[] = {"node",     "output", "service",
                                        "settings", "tenant", "wait"};
 
-int Refuse(const std::string& what) {
+int UsageError(const std::string& what) {
   std::cerr << "chestnutport: " << what << "; see chestnutport help\n";
   return cli::kExitUsage;
 }
@@ -55,21 +55,21 @@
       return cli::kExitDone;
     }
     if (!IsKnownFlag(argv[i]))
-      return Refuse(std::string(argv[i]) + ": accepted: --NAME=VALUE");
+      return UsageError(std::string(argv[i]) + ": accepted: --NAME=VALUE");
   }
   absl::SetProgramUsageMessage(cli::HelpText());
   const std::vector<char*> rest = absl::ParseCommandLine(argc, argv);
-  const cli::Words words(rest.begin() + 1, rest.end());
-  if (words.empty())
-    return Refuse("no command");
+  const cli::Arguments args(rest.begin() + 1, rest.end());
+  if (args.empty())
+    return UsageError("no command");
   cli::CommandContext context;
   const auto node = base::SocketAddress::Parse(absl::GetFlag(FLAGS_node));
   if (!node)
-    return Refuse("--node: accepted: an IPv4 address and port");
+    return UsageError("--node: accepted: an IPv4 address and port");
   context.node = *node;
   const std::string output = absl::GetFlag(FLAGS_output);
   if (output != "text" && output != "json")
-    return Refuse("--output: accepted: text or json");
+    return UsageError("--output: accepted: text or json");
   context.json = output == "json";
   context.settings_file = absl::GetFlag(FLAGS_settings);
   context.service = absl::GetFlag(FLAGS_service);
@@ -78,10 +78,10 @@
   if (!wait.empty()) {
     const auto duration = base::ParseDuration(wait);
     if (!duration)
-      return Refuse("--wait: accepted: a duration, such as 30s");
+      return UsageError("--wait: accepted: a duration, such as 30s");
     context.wait = *duration;
   }
   const char* token = std::getenv("CHESTNUTPORT_TOKEN");
   context.token = token ? token : "";
-  return cli::RunCommand(context, words);
+  return cli::RunCommand(context, args);
 }
--- a/src/app/chestnutport/output.cc
+++ b/src/app/chestnutport/output.cc
@@ -10,9 +10,9 @@
 
 using nlohmann::json;
 
-constexpr size_t kWidestCell = 40;
-constexpr size_t kGap = 2;
-constexpr size_t kListed = 4;  // Of a list in a cell.
+constexpr size_t kMaxCellWidth = 40;
+constexpr size_t kColumnGap = 2;
+constexpr size_t kMaxListItems = 4;  // Of a list in a cell.
 
 std::string Cell(const json& value) {
   if (value.is_null())
@@ -24,17 +24,17 @@
   if (!value.is_array())
     return value.dump();
   std::string text;
-  for (size_t i = 0; i < value.size() && i < kListed; ++i)
+  for (size_t i = 0; i < value.size() && i < kMaxListItems; ++i)
     absl::StrAppend(&text, i > 0 ? ", " : "", Cell(value[i]));
-  if (value.size() > kListed)
-    absl::StrAppend(&text, " and ", value.size() - kListed, " more");
+  if (value.size() > kMaxListItems)
+    absl::StrAppend(&text, " and ", value.size() - kMaxListItems, " more");
   return text;
 }
 
 std::string Field(const json& row, const char* field) {
   std::string text = Cell(row.contains(field) ? row[field] : json());
-  if (text.size() > kWidestCell)
-    text = text.substr(0, kWidestCell - 3) + "...";
+  if (text.size() > kMaxCellWidth)
+    text = text.substr(0, kMaxCellWidth - 3) + "...";
   return text;
 }
 
@@ -68,7 +68,7 @@
     size_t width = std::string(column.title).size();
     for (const json& row : rows)
       width = std::max(width, Field(row, column.field).size());
-    widths.push_back(width + kGap);
+    widths.push_back(width + kColumnGap);
   }
   std::string text;
   const auto add_line = [&](auto cell) {
--- a/tests/auto/evacuation/evacuation_forms_test.cc
+++ b/tests/auto/evacuation/evacuation_forms_test.cc
@@ -2,7 +2,7 @@
 #include <catch2/catch.hpp>
 
 #include "evacuation_store/native_evacuation_format.h"
-#include "platform/hosted_evacuation_form.h"
+#include "platform/hosted_evacuation_format.h"
 
 namespace chestnutport::evacuation_store {
 namespace {
@@ -24,7 +24,7 @@
 }
 
 TEST_CASE("the hosted format is one key per data centre") {
-  const platform::HostedEvacuationForm format;
+  const platform::HostedEvacuationFormat format;
   CHECK(format.Read({}) == DataCentres());
   const Entries entries = {{format.Prefix() + "poa-a", "{}", 3},
                            {format.Prefix() + "poa-b", "", 4}};
--- a/tests/auto/failures/request_ends_servers_test.cc
+++ b/tests/auto/failures/request_ends_servers_test.cc
@@ -78,11 +78,11 @@
     platform_.Put("op/config", kDocument);
     for (size_t i = 0; i < kNodes; ++i) {
       servers_[i] = &platform_.AddServer("dossie", absl::StrCat("i-", i, "-0"));
-      servers_[i]->ends_by = [](const net::HttpRequest& request) {
+      servers_[i]->crashes_on = [](const net::HttpRequest& request) {
         return IsFatal(request);
       };
-      servers_[i]->answers_later = [this, i](const net::HttpRequest& request,
-                                             net::Reply& reply) {
+      servers_[i]->defer_response = [this, i](const net::HttpRequest& request,
+                                              net::Reply& reply) {
         if (request.target != kOuterPath)
           return false;
         CallFrom(i, request, std::move(reply));
@@ -95,7 +95,7 @@
     std::vector<std::jthread> under_way;
     platform_.Run([&] {
       for (HostedServer* server : servers_)
-        server->answers_later = nullptr;
+        server->defer_response = nullptr;
       under_way.swap(nested_);
     });
     under_way.clear();
@@ -120,12 +120,13 @@
         .at("requests");
   }
   // Whether every node lists a request with which so many servers ended.
-  bool KnowEverywhere(size_t ends) {
+  bool KnowEverywhere(size_t crash_count) {
     for (size_t node = 0; node < kNodes; ++node) {
       const json held = Held(node);
-      const bool knows = std::ranges::any_of(held, [ends](const json& request) {
-        return request.at("ends").size() >= ends;
-      });
+      const bool knows =
+          std::ranges::any_of(held, [crash_count](const json& request) {
+            return request.at("ends").size() >= crash_count;
+          });
       if (!knows)
         return false;
     }
@@ -157,7 +158,7 @@
   // Ends that the platform's store holds against the request.
   int StoredMarks() {
     const auto stored = quarantine::DecodeEvidence(
-        platform_.EntryOf("/quarantine"), base::Clock::now());
+        platform_.FindValue("/quarantine"), base::Clock::now());
     if (!stored || stored->empty())
       return 0;
     return static_cast<int>(stored->front().crashes.size());
@@ -183,12 +184,12 @@
     return arrivals;
   }
   int Ends() {
-    int ends = 0;
+    int crash_count = 0;
     platform_.Run([&] {
       for (const HostedServer* server : servers_)
-        ends += server->ends;
+        crash_count += server->crash_count;
     });
-    return ends;
+    return crash_count;
   }
 
   // What operators are shown of each node.
@@ -230,7 +231,7 @@
       const std::string name(net::FindHeader(request.headers, "Request-Id"));
       nodes_[i]->Call(kFatalPath, name + ".1");
       platform_.Run([&] {
-        held->Send(HostedPlatform::UsualAnswer(*servers_[i], request));
+        held->Send(HostedPlatform::DefaultAnswer(*servers_[i], request));
         held.reset();
       });
     });
--- a/tests/auto/fleet_configuration/configuration_reader_test.cc
+++ b/tests/auto/fleet_configuration/configuration_reader_test.cc
@@ -14,7 +14,7 @@
 #include "net/http_client.h"
 #include "net/http_server.h"
 #include "node/native_configuration_format.h"
-#include "platform/hosted_store_form.h"
+#include "platform/hosted_store_protocol.h"
 
 namespace chestnutport::fleet_configuration {
 namespace {
@@ -100,7 +100,7 @@
         client_(http_,
                 {store_.address()},
                 kTimeout,
-                store::AnyStoreProtocol::Of(platform::HostedStoreForm())),
+                store::AnyStoreProtocol::Of(platform::HostedStoreProtocol())),
         configuration_(client_,
                        AnyConfigurationFormat::Of(
                            node::NativeConfigurationFormat("fleet")),
--- a/tests/auto/input/mutated_input_test.cc
+++ b/tests/auto/input/mutated_input_test.cc
@@ -13,8 +13,8 @@
 #include "membership/member.h"
 #include "net/http_message.h"
 #include "operators/drain_request.h"
-#include "platform/hosted_configuration_form.h"
-#include "platform/hosted_store_form.h"
+#include "platform/hosted_configuration_format.h"
+#include "platform/hosted_store_protocol.h"
 #include "rpc/call_codec.h"
 #include "settings/node_settings.h"
 #include "store/etcd_protocol.h"
@@ -61,7 +61,8 @@
          R"({"key":"a/b","value":"eA==","revision":5,"asOf":9})",
          R"({"lease":7,"ttl_time":"3s"})", R"({"revision":12})"});
     const int status = *rc::gen::element(200, 404, 410, 412, 429, 503, 0, -1);
-    ReadAllOf(platform::HostedStoreForm(), {.status = status, .body = body});
+    ReadAllOf(platform::HostedStoreProtocol(),
+              {.status = status, .body = body});
   });
   rc::prop("of the product's own form", [] {
     const std::string body = *MutatedText(
@@ -76,7 +77,7 @@
 
 TEST_CASE("the configuration") {
   rc::prop("as the platform's operators write it", [] {
-    const platform::HostedConfigurationForm form;
+    const platform::HostedConfigurationFormat form;
     const std::string text = *MutatedText({kHostedDocument});
     const auto published = form.ReadHead(text);
     if (!published)
--- a/tests/auto/platform/hosted_configuration_form_test.cc
+++ b/tests/auto/platform/hosted_configuration_form_test.cc
@@ -1,5 +1,5 @@
 // The configuration as the platform's operators write it.
-#include "platform/hosted_configuration_form.h"
+#include "platform/hosted_configuration_format.h"
 
 #include <catch2/catch.hpp>
 #include <map>
@@ -20,13 +20,13 @@
            "idleTimeout":"15s"}})";
 
 declarations::Configuration Parse(const std::string& text) {
-  const HostedConfigurationForm form;
-  return form.Parse(7, {{form.HeadKey(), text}});
+  const HostedConfigurationFormat format;
+  return format.Parse(7, {{format.HeadKey(), text}});
 }
 
 TEST_CASE("an entry says its version and brings its document along") {
-  const HostedConfigurationForm form;
-  const auto published = form.ReadHead(kDocument);
+  const HostedConfigurationFormat format;
+  const auto published = format.ReadHead(kDocument);
   REQUIRE(published);
   CHECK(published->head.revision == 7);
   REQUIRE(published->documents.size() == 1);
@@ -36,17 +36,17 @@
   SECTION("what is no configuration is not taken for one") {
     const char* text = GENERATE("", "no json", "[]", "{}", R"({"version":0})",
                                 R"({"version":"7"})");
-    CHECK_FALSE(form.ReadHead(text));
+    CHECK_FALSE(format.ReadHead(text));
   }
 }
 
 TEST_CASE("a document that is nested very deeply is refused, not fatal") {
-  const HostedConfigurationForm form;
-  CHECK_FALSE(form.ReadHead(std::string(1000000, '[')));
+  const HostedConfigurationFormat format;
+  CHECK_FALSE(format.ReadHead(std::string(1000000, '[')));
   const std::string deep = R"({"version":7,"routes":)" +
                            std::string(400000, '[') + std::string(400000, ']') +
                            "}";
-  CHECK(form.ReadHead(deep));
+  CHECK(format.ReadHead(deep));
   CHECK(Parse(deep).routes.size() == 0);
 }
 
--- a/tests/auto/platform/hosted_path_test.cc
+++ b/tests/auto/platform/hosted_path_test.cc
@@ -16,7 +16,7 @@
 using net::FindHeader;
 
 // A configuration whose one route goes to `service`.
-std::string Document(int version, const std::string& prefix) {
+std::string ConfigurationText(int version, const std::string& prefix) {
   return absl::StrCat(
       R"({"version":)", version,
       R"(,"routes":{"columns":["name","host","prefix","routeKind","timeout",)",
@@ -27,30 +27,30 @@
       R"("rows":[["dossie","/healthz",200]]},"limits":{}})");
 }
 
-class Scene {
+class HostedFleet {
  public:
-  Scene()
+  HostedFleet()
       : folder_(std::filesystem::temp_directory_path() /
                 absl::StrCat("hosted-", getpid())) {
     std::filesystem::create_directories(folder_);
     one =
         std::make_unique<HostedNode>("one", platform.store_address(), folder_);
   }
-  ~Scene() {
+  ~HostedFleet() {
     one.reset();
     two.reset();
     std::filesystem::remove_all(folder_);
   }
-  Scene(const Scene&) = delete;
-  Scene& operator=(const Scene&) = delete;
+  HostedFleet(const HostedFleet&) = delete;
+  HostedFleet& operator=(const HostedFleet&) = delete;
 
   void Configure(int version, const std::string& prefix) {
-    platform.Put("op/config", Document(version, prefix));
+    platform.Put("op/config", ConfigurationText(version, prefix));
     REQUIRE(WaitUntil([&] { return one->IsReady(); }));
   }
 
-  void AddSecond(const std::string& server_address = "127.0.0.1:0",
-                 const std::string& data_centre = "one") {
+  void AddSecondNode(const std::string& server_address = "127.0.0.1:0",
+                     const std::string& data_centre = "one") {
     two = std::make_unique<HostedNode>("two", platform.store_address(), folder_,
                                        server_address, data_centre);
   }
@@ -64,38 +64,38 @@
 };
 
 TEST_CASE("a node that knows no configuration promises nothing") {
-  Scene scene;
-  CHECK_FALSE(scene.one->IsReady());
-  CHECK(scene.one->Call("/p/x", "r1").status == 503);
+  HostedFleet fleet;
+  CHECK_FALSE(fleet.one->IsReady());
+  CHECK(fleet.one->Call("/p/x", "r1").status == 503);
 
   SECTION("and takes it up when it is written, and each later one") {
-    HostedServer& server = scene.platform.AddServer("dossie", "i-1");
-    scene.Configure(7, "/p/");
-    scene.one->Announce(server, "ready", 1);
+    HostedServer& server = fleet.platform.AddServer("dossie", "i-1");
+    fleet.Configure(7, "/p/");
+    fleet.one->Announce(server, "ready", 1);
     REQUIRE(
-        WaitUntil([&] { return scene.one->Call("/p/x", "r2").status == 200; }));
-    CHECK(scene.one->Call("/q/x", "r3").status == 404);
-    scene.platform.Put("op/config", Document(9, "/q/"));
+        WaitUntil([&] { return fleet.one->Call("/p/x", "r2").status == 200; }));
+    CHECK(fleet.one->Call("/q/x", "r3").status == 404);
+    fleet.platform.Put("op/config", ConfigurationText(9, "/q/"));
     CHECK(
-        WaitUntil([&] { return scene.one->Call("/q/x", "r4").status == 200; }));
-    CHECK(scene.one->Call("/p/x", "r5").status == 404);
+        WaitUntil([&] { return fleet.one->Call("/q/x", "r4").status == 200; }));
+    CHECK(fleet.one->Call("/p/x", "r5").status == 404);
     // An older one that comes late changes nothing.
-    scene.platform.Put("op/config", Document(8, "/p/"));
-    CHECK(scene.one->Call("/q/x", "r6").status == 200);
+    fleet.platform.Put("op/config", ConfigurationText(8, "/p/"));
+    CHECK(fleet.one->Call("/q/x", "r6").status == 200);
   }
 }
 
 TEST_CASE("a server gets a request with what it expects") {
-  Scene scene;
-  HostedServer& server = scene.platform.AddServer("dossie", "i-1");
-  scene.Configure(7, "/p/");
-  scene.one->Announce(server, "ready", 1);
+  HostedFleet fleet;
+  HostedServer& server = fleet.platform.AddServer("dossie", "i-1");
+  fleet.Configure(7, "/p/");
+  fleet.one->Announce(server, "ready", 1);
   REQUIRE(
-      WaitUntil([&] { return scene.one->Call("/p/x", "r1").status == 200; }));
+      WaitUntil([&] { return fleet.one->Call("/p/x", "r1").status == 200; }));
 
   SECTION("its deadline, its start, and where it came from") {
     net::HttpRequest seen;
-    scene.platform.Run([&] { seen = server.requests.back(); });
+    fleet.platform.Run([&] { seen = server.requests.back(); });
     CHECK(FindHeader(seen.headers, "Caller-Service") == "dossie");
     CHECK(FindHeader(seen.headers, "Expected-Instance") == "i-1");
     CHECK(std::stoi(std::string(FindHeader(seen.headers, "Deadline-Ms"))) <=
@@ -103,58 +103,58 @@
     CHECK(FindHeader(seen.headers, "Chestnutport-Attempt").empty());
   }
   SECTION("and none after it said that it drains") {
-    scene.one->Announce(server, "draining", 2);
-    const size_t before = scene.platform.RequestsOf(server);
-    const auto answer = scene.one->Call("/p/x", "r2");
+    fleet.one->Announce(server, "draining", 2);
+    const size_t before = fleet.platform.RequestCount(server);
+    const auto answer = fleet.one->Call("/p/x", "r2");
     CHECK(answer.status == 503);
     CHECK_FALSE(FindHeader(answer.headers, "Retry-After").empty());
-    CHECK(scene.platform.RequestsOf(server) == before);
+    CHECK(fleet.platform.RequestCount(server) == before);
 
     SECTION("nor because of a late word from before") {
-      scene.one->Announce(server, "ready", 1);
-      CHECK(scene.one->Call("/p/x", "r3").status == 503);
+      fleet.one->Announce(server, "ready", 1);
+      CHECK(fleet.one->Call("/p/x", "r3").status == 503);
     }
   }
   SECTION("and what bears no proof is not handed on") {
-    scene.platform.Run([&] {
+    fleet.platform.Run([&] {
       server.answer = [](const net::HttpRequest&) {
         return net::HttpAnswer{.status = 200, .headers = {}, .body = "forged"};
       };
     });
-    const auto answer = scene.one->Call("/p/x", "r4");
+    const auto answer = fleet.one->Call("/p/x", "r4");
     CHECK(answer.status == 502);
     CHECK(answer.body.find("forged") == std::string::npos);
   }
   SECTION("and one that is replaced is left alone until it speaks up") {
-    scene.platform.Run([&] {
+    fleet.platform.Run([&] {
       server.answer = [](const net::HttpRequest&) {
         return net::HttpAnswer{.status = 421,
                                .headers = {{"Instance-Id", "i-2"}}};
       };
     });
-    CHECK(scene.one->Call("/p/x", "r5").status == 503);
-    const size_t before = scene.platform.RequestsOf(server);
-    CHECK(scene.one->Call("/p/x", "r6").status == 503);
-    CHECK(scene.platform.RequestsOf(server) == before);
+    CHECK(fleet.one->Call("/p/x", "r5").status == 503);
+    const size_t before = fleet.platform.RequestCount(server);
+    CHECK(fleet.one->Call("/p/x", "r6").status == 503);
+    CHECK(fleet.platform.RequestCount(server) == before);
   }
 }
 
 TEST_CASE("a node that starts beside a running server finds it by itself") {
-  Scene scene;
-  HostedServer& server = scene.platform.AddServer("dossie", "i-1");
-  scene.platform.Put("op/config", Document(7, "/p/"));
-  scene.AddSecond(server.listener->address().ToString());
-  CHECK(WaitUntil([&] { return scene.two->Call("/p/x", "r").status == 200; }));
+  HostedFleet fleet;
+  HostedServer& server = fleet.platform.AddServer("dossie", "i-1");
+  fleet.platform.Put("op/config", ConfigurationText(7, "/p/"));
+  fleet.AddSecondNode(server.listener->address().ToString());
+  CHECK(WaitUntil([&] { return fleet.two->Call("/p/x", "r").status == 200; }));
 
   SECTION("and takes its later word over what it found") {
-    scene.two->Announce(server, "draining", 5);
-    CHECK(scene.two->Call("/p/x", "r2").status == 503);
+    fleet.two->Announce(server, "draining", 5);
+    CHECK(fleet.two->Call("/p/x", "r2").status == 503);
   }
 }
 
 // Those that begin so.
-std::vector<std::string> CallsOf(const std::vector<std::string>& calls,
-                                 std::string_view begin) {
+std::vector<std::string> CallsWithPrefix(const std::vector<std::string>& calls,
+                                         std::string_view begin) {
   std::vector<std::string> found;
   std::copy_if(
       calls.begin(), calls.end(), std::back_inserter(found),
@@ -166,24 +166,24 @@
   constexpr std::string_view kListing = "/chestnutport/kv-range?";
   constexpr std::string_view kWatch = "/chestnutport/kv-watch?";
   constexpr std::string_view kRead = "/chestnutport/kv-key?";
-  Scene scene;
-  scene.Configure(7, "/p/");
+  HostedFleet fleet;
+  fleet.Configure(7, "/p/");
 
   SECTION("a watch only once it has read twice: then it knows the others") {
     std::vector<std::string> calls;
     REQUIRE(WaitUntil([&] {
-      calls = scene.platform.StoreCalls();
-      return !CallsOf(calls, kWatch).empty();
+      calls = fleet.platform.StoreCalls();
+      return !CallsWithPrefix(calls, kWatch).empty();
     }));
     const auto watch = std::ranges::find_if(
         calls, [&](const auto& call) { return call.starts_with(kWatch); });
     const std::vector<std::string> before(calls.begin(), watch);
-    CHECK(CallsOf(before, kRead).size() >= 2);
+    CHECK(CallsWithPrefix(before, kRead).size() >= 2);
   }
   SECTION("first a listing that may be old, and one of now as it is alone") {
     std::vector<std::string> listings;
     REQUIRE(WaitUntil([&] {
-      listings = CallsOf(scene.platform.StoreCalls(), kListing);
+      listings = CallsWithPrefix(fleet.platform.StoreCalls(), kListing);
       return listings.size() >= 2;
     }));
     CHECK(listings[0].find("staleOk=1") != std::string::npos);
@@ -192,93 +192,95 @@
 }
 
 TEST_CASE("a slow server's node hands work to another, unrun") {
-  Scene scene;
-  HostedServer& slow = scene.platform.AddServer("dossie", "i-slow");
-  HostedServer& fast = scene.platform.AddServer("dossie", "i-fast");
-  scene.platform.Run([&] { slow.load = "0,0,12,400"; });
-  scene.AddSecond();
-  scene.Configure(7, "/p/");
-  REQUIRE(WaitUntil([&] { return scene.two->IsReady(); }));
-  scene.one->Announce(slow, "ready", 1);
-  scene.two->Announce(fast, "ready", 1);
+  HostedFleet fleet;
+  HostedServer& slow = fleet.platform.AddServer("dossie", "i-slow");
+  HostedServer& fast = fleet.platform.AddServer("dossie", "i-fast");
+  fleet.platform.Run([&] { slow.load = "0,0,12,400"; });
+  fleet.AddSecondNode();
+  fleet.Configure(7, "/p/");
+  REQUIRE(WaitUntil([&] { return fleet.two->IsReady(); }));
+  fleet.one->Announce(slow, "ready", 1);
+  fleet.two->Announce(fast, "ready", 1);
   // Until both nodes know of each other and have probed their servers.
   REQUIRE(WaitUntil([&] {
-    scene.one->Call("/p/x", "warm");
-    return scene.platform.RequestsOf(fast) > 0;
+    fleet.one->Call("/p/x", "warm");
+    return fleet.platform.RequestCount(fast) > 0;
   }));
-  const size_t before = scene.platform.RequestsOf(slow);
+  const size_t before = fleet.platform.RequestCount(slow);
   for (int i = 0; i < 20; ++i)
-    CHECK(scene.one->Call("/p/x", absl::StrCat("r", i)).status == 200);
-  CHECK(scene.platform.RequestsOf(slow) == before);
+    CHECK(fleet.one->Call("/p/x", absl::StrCat("r", i)).status == 200);
+  CHECK(fleet.platform.RequestCount(slow) == before);
 }
 
 TEST_CASE("an evacuated data centre's server gets no new work") {
-  Scene scene;
-  HostedServer& here = scene.platform.AddServer("dossie", "i-one");
-  HostedServer& there = scene.platform.AddServer("dossie", "i-two");
-  scene.AddSecond("127.0.0.1:0", "far");
-  scene.Configure(7, "/p/");
-  REQUIRE(WaitUntil([&] { return scene.two->IsReady(); }));
-  scene.one->Announce(here, "ready", 1);
-  scene.two->Announce(there, "ready", 1);
-  const auto knows_both = [](const HostedNode& node) {
+  HostedFleet fleet;
+  HostedServer& here = fleet.platform.AddServer("dossie", "i-one");
+  HostedServer& there = fleet.platform.AddServer("dossie", "i-two");
+  fleet.AddSecondNode("127.0.0.1:0", "far");
+  fleet.Configure(7, "/p/");
+  REQUIRE(WaitUntil([&] { return fleet.two->IsReady(); }));
+  fleet.one->Announce(here, "ready", 1);
+  fleet.two->Announce(there, "ready", 1);
+  const auto lists_both_servers = [](const HostedNode& node) {
     const std::string status = node.Operate("GET", "/v1/status").body;
     const size_t first = status.find("dossie");
     return first != std::string::npos &&
            status.find("dossie", first + 1) != std::string::npos;
   };
-  REQUIRE(WaitUntil(
-      [&] { return knows_both(*scene.one) && knows_both(*scene.two); }));
+  REQUIRE(WaitUntil([&] {
+    return lists_both_servers(*fleet.one) && lists_both_servers(*fleet.two);
+  }));
   const auto is_evacuated = [](const HostedNode& node, const char* name) {
     return node.Operate("GET", "/v1/evacuations").body.find(name) !=
            std::string::npos;
   };
-  scene.platform.Put("op/evacuate/one", "{}");
+  fleet.platform.Put("op/evacuate/one", "{}");
   REQUIRE(WaitUntil([&] {
-    return is_evacuated(*scene.one, "one") && is_evacuated(*scene.two, "one");
+    return is_evacuated(*fleet.one, "one") && is_evacuated(*fleet.two, "one");
   }));
-  size_t before = scene.platform.RequestsOf(here);
+  size_t before = fleet.platform.RequestCount(here);
 
   SECTION("and its node still takes callers") {
     for (int i = 0; i < 10; ++i) {
-      CHECK(scene.one->Call("/p/x", absl::StrCat("a", i)).status == 200);
-      CHECK(scene.two->Call("/p/x", absl::StrCat("b", i)).status == 200);
+      CHECK(fleet.one->Call("/p/x", absl::StrCat("a", i)).status == 200);
+      CHECK(fleet.two->Call("/p/x", absl::StrCat("b", i)).status == 200);
     }
-    CHECK(scene.platform.RequestsOf(here) == before);
+    CHECK(fleet.platform.RequestCount(here) == before);
   }
   SECTION("while the store is down, too") {
-    scene.platform.set_failure(503);
-    CHECK(scene.two->Call("/p/x", "c").status == 200);
-    CHECK(scene.platform.RequestsOf(here) == before);
-    CHECK(is_evacuated(*scene.one, "one"));
+    fleet.platform.set_failure(503);
+    CHECK(fleet.two->Call("/p/x", "c").status == 200);
+    CHECK(fleet.platform.RequestCount(here) == before);
+    CHECK(is_evacuated(*fleet.one, "one"));
   }
   SECTION("a service that has servers nowhere else is refused at once") {
-    scene.platform.Put("op/evacuate/far", "{}");
-    REQUIRE(WaitUntil([&] { return is_evacuated(*scene.one, "far"); }));
-    before += scene.platform.RequestsOf(there);
-    CHECK(scene.one->Call("/p/x", "d").status == 503);
-    CHECK(scene.platform.RequestsOf(here) + scene.platform.RequestsOf(there) ==
+    fleet.platform.Put("op/evacuate/far", "{}");
+    REQUIRE(WaitUntil([&] { return is_evacuated(*fleet.one, "far"); }));
+    before += fleet.platform.RequestCount(there);
+    CHECK(fleet.one->Call("/p/x", "d").status == 503);
+    CHECK(fleet.platform.RequestCount(here) +
+              fleet.platform.RequestCount(there) ==
           before);
   }
   SECTION("until it is taken back") {
-    scene.platform.Remove("op/evacuate/one");
+    fleet.platform.Remove("op/evacuate/one");
     CHECK(WaitUntil([&] {
-      scene.one->Call("/p/x", "e");
-      return scene.platform.RequestsOf(here) > before;
+      fleet.one->Call("/p/x", "e");
+      return fleet.platform.RequestCount(here) > before;
     }));
   }
 }
 
 TEST_CASE(
     "a node lives on when its settings change, and when its store fails") {
-  Scene scene;
-  HostedServer& server = scene.platform.AddServer("dossie", "i-1");
-  scene.Configure(7, "/p/");
-  scene.one->Announce(server, "ready", 1);
-  scene.platform.set_failure(GENERATE(0, 503, 429));
-  scene.one->process().Signal(SIGHUP);
-  REQUIRE_FALSE(scene.one->process().WaitForField("changed").empty());
-  CHECK(WaitUntil([&] { return scene.one->Call("/p/x", "r").status == 200; }));
+  HostedFleet fleet;
+  HostedServer& server = fleet.platform.AddServer("dossie", "i-1");
+  fleet.Configure(7, "/p/");
+  fleet.one->Announce(server, "ready", 1);
+  fleet.platform.set_failure(GENERATE(0, 503, 429));
+  fleet.one->process().Signal(SIGHUP);
+  REQUIRE_FALSE(fleet.one->process().WaitForField("changed").empty());
+  CHECK(WaitUntil([&] { return fleet.one->Call("/p/x", "r").status == 200; }));
 }
 
 }  // namespace
--- a/tests/auto/platform/hosted_store_form_test.cc
+++ b/tests/auto/platform/hosted_store_form_test.cc
@@ -1,5 +1,5 @@
 // What the hosted store is asked, and what its answers mean.
-#include "platform/hosted_store_form.h"
+#include "platform/hosted_store_protocol.h"
 
 #include <catch2/catch.hpp>
 #include <nlohmann/json.hpp>
@@ -22,11 +22,12 @@
                     {"asOf", 530}};
 
 TEST_CASE("one key is read") {
-  const HostedStoreForm form;
-  CHECK(form.Read("a b/c&d").target == "/chestnutport/kv-key?key=a%20b/c%26d");
+  const HostedStoreProtocol protocol;
+  CHECK(protocol.Read("a b/c&d").target ==
+        "/chestnutport/kv-key?key=a%20b/c%26d");
 
   SECTION("that is there") {
-    const auto page = form.ParseEntry(Answer(200, kItem));
+    const auto page = protocol.ParseEntry(Answer(200, kItem));
     REQUIRE(page);
     REQUIRE(page.value().entries.size() == 1);
     CHECK(page.value().entries[0].value == "hello");
@@ -34,7 +35,7 @@
     CHECK(page.value().as_of == 530);
   }
   SECTION("that is not there: no entry, and no error") {
-    const auto page = form.ParseEntry(Answer(404, {{"asOf", 7}}));
+    const auto page = protocol.ParseEntry(Answer(404, {{"asOf", 7}}));
     REQUIRE(page);
     CHECK(page.value().entries.empty());
     CHECK(page.value().as_of == 7);
@@ -44,34 +45,34 @@
         GENERATE(Answer(503, json::object()), Answer(429, json::object()),
                  Answer(200, json::array()), Answer(200, {{"key", 7}}),
                  Answer(200, {{"key", "k"}, {"value", "no base64!"}}));
-    CHECK_FALSE(form.ParseEntry(answer));
+    CHECK_FALSE(protocol.ParseEntry(answer));
   }
 }
 
 TEST_CASE("a list is read page by page") {
-  const HostedStoreForm form;
-  CHECK(form.List("a/", "", store::Freshness::kLatest).target ==
+  const HostedStoreProtocol protocol;
+  CHECK(protocol.List("a/", "", store::Freshness::kLatest).target ==
         "/chestnutport/kv-range?prefix=a/");
-  CHECK(form.List("a/", "a/x", store::Freshness::kLatest).target ==
+  CHECK(protocol.List("a/", "a/x", store::Freshness::kLatest).target ==
         "/chestnutport/kv-range?prefix=a/&after=a/x");
-  CHECK(form.List("a/", "", store::Freshness::kMayBeStale).target ==
+  CHECK(protocol.List("a/", "", store::Freshness::kMayBeStale).target ==
         "/chestnutport/kv-range?prefix=a/&staleOk=1");
-  const auto page = form.ParsePage(
+  const auto page = protocol.ParsePage(
       Answer(200, {{"items", {kItem}}, {"hasMore", true}, {"asOf", 9}}));
   REQUIRE(page);
   CHECK(page.value().has_more);
   CHECK(page.value().entries.size() == 1);
-  CHECK_FALSE(form.ParsePage(Answer(200, {{"items", 7}})));
+  CHECK_FALSE(protocol.ParsePage(Answer(200, {{"items", 7}})));
 }
 
 TEST_CASE("what another writer spoilt leaves the other entries of a list") {
-  const HostedStoreForm form;
-  const json spoilt =
+  const HostedStoreProtocol protocol;
+  const json corrupt =
       GENERATE(json{{"key", "a/2"}, {"value", "no base64!"}, {"revision", 6}},
                json{{"key", "a/2"}, {"value", 7}, {"revision", 6}},
                json{{"key", "a/2"}, {"value", nullptr}, {"revision", 6}});
-  const auto page = form.ParsePage(
-      Answer(200, {{"items", {kItem, spoilt, 7, {{"key", 7}}}}}));
+  const auto page = protocol.ParsePage(
+      Answer(200, {{"items", {kItem, corrupt, 7, {{"key", 7}}}}}));
   REQUIRE(page);
   REQUIRE(page.value().entries.size() == 2);
   CHECK(page.value().entries[0].value == "hello");
@@ -85,52 +86,54 @@
 }
 
 TEST_CASE("a write under a condition tells what became of it") {
-  const HostedStoreForm form;
-  const auto request = form.Swap({"k", 3, "v", 77});
+  const HostedStoreProtocol protocol;
+  const auto request = protocol.Swap({"k", 3, "v", 77});
   const json body = json::parse(request.body);
   CHECK(body["expected"][0]["revision"] == 3);
   CHECK(body["puts"][0]["value"] == "dg==");
   CHECK(body["puts"][0]["lease"] == 77);
-  CHECK(form.ParseSwap(Answer(200, {{"revision", 4}})).value());
-  CHECK_FALSE(form.ParseSwap(Answer(412, {{"items", json::array()}})).value());
-  CHECK(base::KindOf(form.ParseSwap(Answer(503, {})).error()) ==
+  CHECK(protocol.ParseSwap(Answer(200, {{"revision", 4}})).value());
+  CHECK_FALSE(
+      protocol.ParseSwap(Answer(412, {{"items", json::array()}})).value());
+  CHECK(base::KindOf(protocol.ParseSwap(Answer(503, {})).error()) ==
         ErrorKind::kStoreUnavailable);
-  CHECK(base::KindOf(form.ParseSwap(Answer(500, {})).error()) ==
+  CHECK(base::KindOf(protocol.ParseSwap(Answer(500, {})).error()) ==
         ErrorKind::kStoreOutcomeUnknown);
 }
 
 TEST_CASE("a lease is taken and kept") {
-  const HostedStoreForm form;
-  const auto grant = form.Grant(std::chrono::seconds(3));
+  const HostedStoreProtocol protocol;
+  const auto grant = protocol.Grant(std::chrono::seconds(3));
   CHECK(json::parse(grant.body)["ttl_time"] == "3000ms");
-  CHECK(form.ParseGrant(Answer(200, {{"lease", 77120}})).value() == 77120);
-  CHECK_FALSE(form.ParseGrant(Answer(200, json::object())));
-  CHECK(form.KeepAlive(77120).target == "/chestnutport/kv-keep/77120");
-  CHECK(form.ParseKeepAlive(Answer(200, json::object())).value());
-  CHECK_FALSE(form.ParseKeepAlive(Answer(404, json::object())).value());
+  CHECK(protocol.ParseGrant(Answer(200, {{"lease", 77120}})).value() == 77120);
+  CHECK_FALSE(protocol.ParseGrant(Answer(200, json::object())));
+  CHECK(protocol.KeepAlive(77120).target == "/chestnutport/kv-keep/77120");
+  CHECK(protocol.ParseKeepAlive(Answer(200, json::object())).value());
+  CHECK_FALSE(protocol.ParseKeepAlive(Answer(404, json::object())).value());
 }
 
 TEST_CASE("a watch brings what changed") {
-  const HostedStoreForm form;
-  CHECK(form.Watch("op/", 411, std::chrono::seconds(5)).target ==
+  const HostedStoreProtocol protocol;
+  CHECK(protocol.Watch("op/", 411, std::chrono::seconds(5)).target ==
         "/chestnutport/kv-watch?prefix=op/&after=411&waitMs=5000");
 
   SECTION("changes, but not what is gone") {
-    const auto news = form.ParseChanges(Answer(
+    const auto changes = protocol.ParseChanges(Answer(
         200, {{"events",
                {kItem, {{"key", "x"}, {"revision", 413}, {"deleted", true}}}},
               {"asOf", 413}}));
-    REQUIRE(news);
-    CHECK(news.value().changed.size() == 1);
-    CHECK(news.value().as_of == 413);
-    CHECK_FALSE(news.value().changes_missed);
+    REQUIRE(changes);
+    CHECK(changes.value().changed.size() == 1);
+    CHECK(changes.value().as_of == 413);
+    CHECK_FALSE(changes.value().changes_missed);
   }
   SECTION("or that changes were missed") {
-    CHECK(
-        form.ParseChanges(Answer(410, json::object())).value().changes_missed);
+    CHECK(protocol.ParseChanges(Answer(410, json::object()))
+              .value()
+              .changes_missed);
   }
   SECTION("or nothing, from a store that does not know what it says") {
-    CHECK_FALSE(form.ParseChanges(Answer(200, {{"events", 1}})));
+    CHECK_FALSE(protocol.ParseChanges(Answer(200, {{"events", 1}})));
   }
 }
 
--- a/tests/auto/platform/lost_store_test.cc
+++ b/tests/auto/platform/lost_store_test.cc
@@ -19,7 +19,7 @@
 namespace {
 
 // A configuration without services, which says only its revision.
-std::string Document(uint64_t revision) {
+std::string ConfigurationText(uint64_t revision) {
   return absl::StrCat(R"({"version":)", revision,
                       R"(,"routes":{"columns":["name"],"rows":[]},)",
                       R"("services":{"columns":["name"],"rows":[]},)",
@@ -27,27 +27,27 @@
 }
 
 // Nodes of one data centre, each with a way to the store of its own.
-class Scene {
+class RelayedFleet {
  public:
-  explicit Scene(size_t nodes)
+  explicit RelayedFleet(size_t nodes)
       : folder_(std::filesystem::temp_directory_path() /
                 absl::StrCat("lost-store-", getpid())) {
     std::filesystem::create_directories(folder_);
-    platform_.Put("op/config", Document(revision_));
+    platform_.Put("op/config", ConfigurationText(revision_));
     for (size_t i = 0; i < nodes; ++i) {
-      ways_.push_back(std::make_unique<Relay>(platform_.store_address()));
+      relays_.push_back(std::make_unique<Relay>(platform_.store_address()));
       nodes_.push_back(std::make_unique<HostedNode>(
-          absl::StrCat("node-", i), ways_.back()->address(), folder_));
+          absl::StrCat("node-", i), relays_.back()->address(), folder_));
     }
   }
-  ~Scene() {
+  ~RelayedFleet() {
     nodes_.clear();
     std::filesystem::remove_all(folder_);
   }
-  Scene(const Scene&) = delete;
-  Scene& operator=(const Scene&) = delete;
+  RelayedFleet(const RelayedFleet&) = delete;
+  RelayedFleet& operator=(const RelayedFleet&) = delete;
 
-  bool WaitUntilAllKnowAll() {
+  bool WaitForFullMembership() {
     return WaitUntil([this] {
       return std::ranges::all_of(nodes_, [this](const auto& node) {
         return StatusOf(*node)["members"].size() == nodes_.size();
@@ -56,16 +56,16 @@
   }
 
   // Cuts the others off, and opens the way of `index`.
-  void LeaveOnly(size_t index) {
-    ways_[index]->Cut(false);
-    for (size_t i = 0; i < ways_.size(); ++i) {
+  void ConnectOnly(size_t index) {
+    relays_[index]->Cut(false);
+    for (size_t i = 0; i < relays_.size(); ++i) {
       if (i != index)
-        ways_[i]->Cut(true);
+        relays_[i]->Cut(true);
     }
   }
 
   // The first node that leaves reading the store to others.
-  std::optional<size_t> FirstWithoutDuty() const {
+  std::optional<size_t> FirstNonReader() const {
     for (size_t i = 0; i < nodes_.size(); ++i) {
       if (!StatusOf(*nodes_[i]).value("reads_store", true))
         return i;
@@ -75,7 +75,7 @@
 
   // An operator writes the next revision to the store. Whether all take it.
   bool ChangeReachesAll() {
-    platform_.Put("op/config", Document(++revision_));
+    platform_.Put("op/config", ConfigurationText(++revision_));
     return WaitUntil([this] {
       return std::ranges::all_of(nodes_, [this](const auto& node) {
         return StatusOf(*node).value("revision", 0U) == revision_;
@@ -91,30 +91,30 @@
   std::filesystem::path folder_;
   HostedPlatform platform_;
   uint64_t revision_ = 7;
-  std::vector<std::unique_ptr<Relay>> ways_;
+  std::vector<std::unique_ptr<Relay>> relays_;
   std::vector<std::unique_ptr<HostedNode>> nodes_;
 };
 
 TEST_CASE("a change is in force everywhere while one node reaches the store") {
   SECTION("of a few nodes, whichever that is") {
     constexpr size_t kNodes = 5;
-    Scene scene(kNodes);
-    REQUIRE(scene.WaitUntilAllKnowAll());
-    REQUIRE(scene.ChangeReachesAll());
+    RelayedFleet fleet(kNodes);
+    REQUIRE(fleet.WaitForFullMembership());
+    REQUIRE(fleet.ChangeReachesAll());
     for (size_t i = 0; i < kNodes; ++i) {
       INFO("node " << i);
-      scene.LeaveOnly(i);
-      REQUIRE(scene.ChangeReachesAll());
+      fleet.ConnectOnly(i);
+      REQUIRE(fleet.ChangeReachesAll());
     }
   }
   SECTION("of more nodes than read it, one that did not") {
-    Scene scene(configuration::kSmallFleetSize + 4);
-    REQUIRE(scene.WaitUntilAllKnowAll());
-    REQUIRE(scene.ChangeReachesAll());
-    const auto spare = scene.FirstWithoutDuty();
-    REQUIRE(spare);
-    scene.LeaveOnly(*spare);
-    CHECK(scene.ChangeReachesAll());
+    RelayedFleet fleet(configuration::kSmallFleetSize + 4);
+    REQUIRE(fleet.WaitForFullMembership());
+    REQUIRE(fleet.ChangeReachesAll());
+    const auto non_reader = fleet.FirstNonReader();
+    REQUIRE(non_reader);
+    fleet.ConnectOnly(*non_reader);
+    CHECK(fleet.ChangeReachesAll());
   }
 }
 
--- a/tests/auto/platform/replaced_server_test.cc
+++ b/tests/auto/platform/replaced_server_test.cc
@@ -24,56 +24,56 @@
 
 constexpr int kMisdirected = 421;
 
-net::HttpAnswer RefusalOf(const std::string& instance) {
+net::HttpAnswer MisdirectedAnswer(const std::string& instance) {
   return {.status = kMisdirected, .headers = {{"Instance-Id", instance}}};
 }
 
 TEST_CASE("a server is started anew while a request to it is on its way") {
-  GateFixture scene(
+  GateFixture fixture(
       server::AnyServerProtocol::Of(platform::HostedServerProtocol()));
-  scene.state.instance = "i-1";
-  scene.Apply();
-  scene.is_silent = true;
-  scene.Begin("GET");
-  REQUIRE(scene.RunUntil([&] { return scene.served.size() == 1; }));
-  ++scene.state.life;
-  scene.state.instance = "i-2";
-  scene.Apply();
-  scene.pending_replies[0].Send(RefusalOf("i-2"));
-  REQUIRE(scene.RunUntil([&] { return scene.results.contains(1); }));
+  fixture.state.instance = "i-1";
+  fixture.Apply();
+  fixture.is_silent = true;
+  fixture.Begin("GET");
+  REQUIRE(fixture.RunUntil([&] { return fixture.served.size() == 1; }));
+  ++fixture.state.life;
+  fixture.state.instance = "i-2";
+  fixture.Apply();
+  fixture.pending_replies[0].Send(MisdirectedAnswer("i-2"));
+  REQUIRE(fixture.RunUntil([&] { return fixture.results.contains(1); }));
 
   SECTION("the request has not run, and its caller's node is told so") {
-    CHECK(Error(scene.results[1]) == "server-replaced");
-    CHECK(Outcome(scene.results[1]) == "not-run");
+    CHECK(Error(fixture.results[1]) == "server-replaced");
+    CHECK(Outcome(fixture.results[1]) == "not-run");
   }
 
   SECTION("and the server that was announced gets the next") {
-    scene.is_silent = false;
-    scene.answer.headers = {{"Response-Signature", "proof"}};
-    CHECK(Outcome(scene.Run("GET")) == "answered");
-    CHECK(scene.served.size() == 2);
+    fixture.is_silent = false;
+    fixture.answer.headers = {{"Response-Signature", "proof"}};
+    CHECK(Outcome(fixture.Run("GET")) == "answered");
+    CHECK(fixture.served.size() == 2);
   }
 }
 
 TEST_CASE("another server answers at the address") {
-  GateFixture scene(
+  GateFixture fixture(
       server::AnyServerProtocol::Of(platform::HostedServerProtocol()));
-  scene.state.instance = "i-1";
-  scene.Apply();
-  scene.answer = RefusalOf("i-2");
-  CHECK(Error(scene.Run("GET")) == "server-replaced");
+  fixture.state.instance = "i-1";
+  fixture.Apply();
+  fixture.answer = MisdirectedAnswer("i-2");
+  CHECK(Error(fixture.Run("GET")) == "server-replaced");
 
   SECTION("nothing more is sent there") {
-    CHECK(Error(scene.Run("GET")) == "no-server");
-    CHECK(scene.served.size() == 1);
+    CHECK(Error(fixture.Run("GET")) == "no-server");
+    CHECK(fixture.served.size() == 1);
   }
 
   SECTION("until the one that holds it announces itself") {
-    ++scene.state.life;
-    scene.state.instance = "i-2";
-    scene.Apply();
-    scene.answer = {.headers = {{"Response-Signature", "proof"}}};
-    CHECK(Outcome(scene.Run("GET")) == "answered");
+    ++fixture.state.life;
+    fixture.state.instance = "i-2";
+    fixture.Apply();
+    fixture.answer = {.headers = {{"Response-Signature", "proof"}}};
+    CHECK(Outcome(fixture.Run("GET")) == "answered");
   }
 }
 
--- a/tests/support/hosted_node.cc
+++ b/tests/support/hosted_node.cc
@@ -48,10 +48,10 @@
   return answer;
 }
 
-net::HttpAnswer Ask(const base::SocketAddress& to,
-                    const std::string& method,
-                    const std::string& path,
-                    const std::string& body = "") {
+net::HttpAnswer SendRequest(const base::SocketAddress& to,
+                            const std::string& method,
+                            const std::string& path,
+                            const std::string& body = "") {
   RawSocket socket(to);
   socket.Send(absl::StrCat(method, " ", path, " HTTP/1.1\r\nHost: x\r\n",
                            "Authorization: Bearer ", kToken, "\r\n",
@@ -71,13 +71,13 @@
   process_ = std::make_unique<Process>(
       "chestnutportd",
       std::vector<std::string>{"--settings=" + path_.string()});
-  callers_ = Listening("caller");
-  operators_ = Listening("operator");
-  servers_ = Listening("server");
+  caller_address_ = ListenAddress("caller");
+  operator_address_ = ListenAddress("operator");
+  server_api_address_ = ListenAddress("server");
 }
 
 bool HostedNode::IsReady() const {
-  return Ask(operators_, "GET", "/v1/ready").status == kOk;
+  return SendRequest(operator_address_, "GET", "/v1/ready").status == kOk;
 }
 
 void HostedNode::Announce(HostedServer& server,
@@ -88,15 +88,15 @@
                    server.address.ToString(),
                    R"(","zone":"z","version":"v1","slots":12,"state":")", state,
                    R"(","cold_for":"0ms","sequence":)", sequence, "}");
-  const auto answer =
-      Ask(servers_, "POST", "/v1/server/" + server.instance, body);
+  const auto answer = SendRequest(server_api_address_, "POST",
+                                  "/v1/server/" + server.instance, body);
   if (answer.status != kOk)
     throw std::runtime_error("announcement refused: " + answer.body);
 }
 
 net::HttpAnswer HostedNode::Call(const std::string& path,
                                  const std::string& id) const {
-  RawSocket socket(callers_);
+  RawSocket socket(caller_address_);
   socket.Send(absl::StrCat("GET ", path,
                            " HTTP/1.1\r\nHost: a.example\r\nRequest-Id: ", id,
                            "\r\nDeadline-Ms: 1500\r\n\r\n"));
@@ -106,10 +106,10 @@
 net::HttpAnswer HostedNode::Operate(const std::string& method,
                                     const std::string& path,
                                     const std::string& body) const {
-  return Ask(operators_, method, path, body);
+  return SendRequest(operator_address_, method, path, body);
 }
 
-base::SocketAddress HostedNode::Listening(const std::string& name) {
+base::SocketAddress HostedNode::ListenAddress(const std::string& name) {
   return *base::SocketAddress::Parse(process_->WaitForField(name));
 }
 
--- a/tests/support/hosted_node.h
+++ b/tests/support/hosted_node.h
@@ -36,13 +36,13 @@
                           const std::string& body = "") const;
 
  private:
-  base::SocketAddress Listening(const std::string& name);
+  base::SocketAddress ListenAddress(const std::string& name);
 
   std::filesystem::path path_;
   std::unique_ptr<Process> process_;
-  base::SocketAddress callers_;
-  base::SocketAddress operators_;
-  base::SocketAddress servers_;
+  base::SocketAddress caller_address_;
+  base::SocketAddress operator_address_;
+  base::SocketAddress server_api_address_;
 };
 
 }  // namespace chestnutport::test
--- a/tests/support/hosted_platform.cc
+++ b/tests/support/hosted_platform.cc
@@ -15,12 +15,12 @@
 constexpr int kNotFound = 404;
 constexpr int kConditionFailed = 412;
 
-base::SocketAddress AnyPort() {
+base::SocketAddress EphemeralAddress() {
   return base::SocketAddress::Parse("127.0.0.1:0").value();
 }
 
 // The value of a query's parameter, as it was sent.
-std::string Parameter(const std::string& target, const std::string& name) {
+std::string QueryParameter(const std::string& target, const std::string& name) {
   const std::string mark = name + "=";
   const size_t start = target.find(mark);
   if (start == std::string::npos)
@@ -35,7 +35,7 @@
           .body = body.dump()};
 }
 
-net::HttpHeaders OwnHeaders(const HostedServer& server) {
+net::HttpHeaders InstanceHeaders(const HostedServer& server) {
   return {{"Instance-Id", server.instance}, {"Instance-Load", server.load}};
 }
 
@@ -44,7 +44,7 @@
 HostedPlatform::HostedPlatform()
     : store_(net::HttpServer::Open(
                  loop_,
-                 AnyPort(),
+                 EphemeralAddress(),
                  {},
                  [this](const net::HttpRequest& request, net::Reply reply) {
                    OnStoreCall(request, std::move(reply));
@@ -70,14 +70,14 @@
 void HostedPlatform::Put(const std::string& key, const std::string& value) {
   Run([&] {
     items_[key] = {absl::Base64Escape(value), ++revision_};
-    TellWatchers();
+    NotifyWatchers();
   });
 }
 
 void HostedPlatform::Remove(const std::string& key) {
   Run([&] {
     items_[key] = {"", ++revision_, true};
-    TellWatchers();
+    NotifyWatchers();
   });
 }
 
@@ -88,7 +88,7 @@
   server->service = service;
   server->instance = instance;
   Run([&] {
-    Listen(*server, AnyPort());
+    Listen(*server, EphemeralAddress());
     server->address = server->listener->address();
     servers_.push_back(std::move(created));
   });
@@ -109,32 +109,32 @@
       net::HttpServer::Open(
           loop_, address, {},
           [this, &server](net::HttpRequest request, net::Reply reply) {
-            OnServed(server, std::move(request), std::move(reply));
+            OnServerRequest(server, std::move(request), std::move(reply));
           })
           .value();
 }
 
-void HostedPlatform::EndSoon(HostedServer& server, net::Reply reply) {
+void HostedPlatform::ScheduleCrash(HostedServer& server, net::Reply reply) {
   const auto held = std::make_shared<net::Reply>(std::move(reply));
-  loop_.CallAfter(kFatalWork, [&server, held] {
+  loop_.CallAfter(kCrashDelay, [&server, held] {
     if (!server.listener)
       return;
     server.listener.reset();
-    ++server.ends;
+    ++server.crash_count;
   });
 }
 
-size_t HostedPlatform::RequestsOf(HostedServer& server) {
+size_t HostedPlatform::RequestCount(HostedServer& server) {
   size_t count = 0;
   Run([&] { count = server.requests.size(); });
   return count;
 }
 
-std::string HostedPlatform::EntryOf(const std::string& key_end) {
+std::string HostedPlatform::FindValue(const std::string& key_suffix) {
   std::string value;
   Run([&] {
     for (const auto& [key, item] : items_) {
-      if (key.ends_with(key_end))
+      if (key.ends_with(key_suffix))
         absl::Base64Unescape(item.value, &value);
     }
   });
@@ -147,31 +147,31 @@
   return calls;
 }
 
-void HostedPlatform::OnServed(HostedServer& server,
-                              net::HttpRequest request,
-                              net::Reply reply) {
+void HostedPlatform::OnServerRequest(HostedServer& server,
+                                     net::HttpRequest request,
+                                     net::Reply reply) {
   if (request.target == "/healthz") {
-    net::HttpHeaders headers = OwnHeaders(server);
+    net::HttpHeaders headers = InstanceHeaders(server);
     if (server.cold_ms > 0)
       headers.push_back({"Cold-Start-Ms", std::to_string(server.cold_ms)});
     reply.Send({.status = 200, .headers = std::move(headers), .body = ""});
     return;
   }
   server.requests.push_back(request);
-  if (server.ends_by && server.ends_by(request)) {
-    EndSoon(server, std::move(reply));
+  if (server.crashes_on && server.crashes_on(request)) {
+    ScheduleCrash(server, std::move(reply));
     return;
   }
-  if (server.answers_later && server.answers_later(request, reply))
+  if (server.defer_response && server.defer_response(request, reply))
     return;
   reply.Send(server.answer ? server.answer(request)
-                           : UsualAnswer(server, request));
+                           : DefaultAnswer(server, request));
 }
 
-net::HttpAnswer HostedPlatform::UsualAnswer(const HostedServer& server,
-                                            const net::HttpRequest& request) {
+net::HttpAnswer HostedPlatform::DefaultAnswer(const HostedServer& server,
+                                              const net::HttpRequest& request) {
   net::HttpAnswer answer{
-      .status = 200, .headers = OwnHeaders(server), .body = "whole"};
+      .status = 200, .headers = InstanceHeaders(server), .body = "whole"};
   answer.headers.push_back({"Request-Id", std::string(net::FindHeader(
                                               request.headers, "Request-Id"))});
   answer.headers.push_back({"Response-Signature", "proof"});
@@ -187,7 +187,7 @@
   }
   const std::string& target = request.target;
   if (target.starts_with("/chestnutport/kv-key?")) {
-    const auto found = items_.find(Parameter(target, "key"));
+    const auto found = items_.find(QueryParameter(target, "key"));
     if (found == items_.end() || found->second.is_deleted) {
       reply.Send(Json(kNotFound, {{"asOf", revision_}}));
       return;
@@ -199,7 +199,7 @@
   } else if (target.starts_with("/chestnutport/kv-range?")) {
     json items = json::array();
     for (const json& item :
-         json::parse(EventsAfter(Parameter(target, "prefix"), 0))) {
+         json::parse(EventsAfter(QueryParameter(target, "prefix"), 0))) {
       if (!item.contains("deleted"))
         items.push_back(item);
     }
@@ -207,11 +207,11 @@
         Json(200, {{"items", items}, {"hasMore", false}, {"asOf", revision_}}));
   } else if (target.starts_with("/chestnutport/kv-watch?")) {
     auto watcher = std::make_unique<Watcher>();
-    watcher->prefix = Parameter(target, "prefix");
-    watcher->after = std::stoll(Parameter(target, "after"));
+    watcher->prefix = QueryParameter(target, "prefix");
+    watcher->after = std::stoll(QueryParameter(target, "after"));
     watcher->reply = std::move(reply);
     watchers_.push_back(std::move(watcher));
-    TellWatchers();
+    NotifyWatchers();
   } else if (target == "/chestnutport/kv-lease") {
     reply.Send(Json(200, {{"lease", ++last_lease_}, {"ttl_time", "3s"}}));
   } else if (target.starts_with("/chestnutport/kv-keep/")) {
@@ -239,7 +239,7 @@
     items_[put["key"].get<std::string>()] = {put["value"].get<std::string>(),
                                              revision_};
   reply.Send(Json(200, {{"revision", revision_}}));
-  TellWatchers();
+  NotifyWatchers();
 }
 
 std::string HostedPlatform::EventsAfter(const std::string& prefix,
@@ -259,7 +259,7 @@
   return events.dump();
 }
 
-void HostedPlatform::TellWatchers() {
+void HostedPlatform::NotifyWatchers() {
   std::erase_if(watchers_, [this](const std::unique_ptr<Watcher>& watcher) {
     if (!watcher->reply.IsOpen())
       return true;
--- a/tests/support/hosted_platform.h
+++ b/tests/support/hosted_platform.h
@@ -29,14 +29,14 @@
   std::function<net::HttpAnswer(const net::HttpRequest&)> answer;
   // The server ends when it has run such a request for a moment, with all that
   // it runs; unset: it never does.
-  std::function<bool(const net::HttpRequest&)> ends_by;
-  int ends = 0;  // So far.
+  std::function<bool(const net::HttpRequest&)> crashes_on;
+  int crash_count = 0;  // So far.
   base::SocketAddress address;
   std::vector<net::HttpRequest> requests;  // Without probes.
   std::unique_ptr<net::HttpServer> listener;
   // Takes a request that is answered later, on the platform's thread; returns
   // whether it did. Unset: it takes none.
-  std::function<bool(const net::HttpRequest&, net::Reply&)> answers_later;
+  std::function<bool(const net::HttpRequest&, net::Reply&)> defer_response;
 };
 
 class HostedPlatform {
@@ -56,7 +56,7 @@
   void set_failure(int status) { failure_ = status; }
 
   // The value of the entry whose key ends so; empty: there is none.
-  std::string EntryOf(const std::string& key_end);
+  std::string FindValue(const std::string& key_suffix);
   // The targets of the calls to the store so far, in order.
   std::vector<std::string> StoreCalls();
 
@@ -67,14 +67,14 @@
   // Runs `task` on the thread of the store and the servers, and waits for it.
   void Run(const std::function<void()>& task);
   // What a server answers as a rule.
-  static net::HttpAnswer UsualAnswer(const HostedServer& server,
-                                     const net::HttpRequest& request);
+  static net::HttpAnswer DefaultAnswer(const HostedServer& server,
+                                       const net::HttpRequest& request);
   // The requests that a server got so far.
-  size_t RequestsOf(HostedServer& server);
+  size_t RequestCount(HostedServer& server);
 
  private:
   // How long a server runs a request that ends it.
-  static constexpr std::chrono::milliseconds kFatalWork{20};
+  static constexpr std::chrono::milliseconds kCrashDelay{20};
 
   struct Item {
     std::string value;  // In base64, as it travels.
@@ -89,14 +89,14 @@
 
   void OnStoreCall(const net::HttpRequest& request, net::Reply reply);
   void OnTransaction(const net::HttpRequest& request, net::Reply reply);
-  void OnServed(HostedServer& server,
-                net::HttpRequest request,
-                net::Reply reply);
+  void OnServerRequest(HostedServer& server,
+                       net::HttpRequest request,
+                       net::Reply reply);
   void Listen(HostedServer& server, const base::SocketAddress& address);
   // Ends the server a moment from now; `reply` is never given.
-  void EndSoon(HostedServer& server, net::Reply reply);
+  void ScheduleCrash(HostedServer& server, net::Reply reply);
   // Answers the watches that have news.
-  void TellWatchers();
+  void NotifyWatchers();
   std::string EventsAfter(const std::string& prefix, int64_t after) const;
 
   net::EventLoop loop_;
