--- a/src/app/chestnutport/api_client.cc
+++ b/src/app/chestnutport/api_client.cc
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-// Longer than a node goes on trying to confirm.
+// Longer than a node retries a confirmation.
 constexpr std::chrono::seconds kTimeout(25);
 constexpr int kFirstErrorStatus = 400;
 
--- a/src/app/chestnutport/api_client.h
+++ b/src/app/chestnutport/api_client.h
@@ -1,4 +1,4 @@
-// Calls to a node's operators' API.
+// Client of a node's operators' API.
 #ifndef CHESTNUTPORT_API_CLIENT_H_
 #define CHESTNUTPORT_API_CLIENT_H_
 
@@ -12,11 +12,11 @@
 
 struct ApiAnswer {
   ExitCode exit_code = kExitUnreachable;
-  nlohmann::json body;  // An object; empty if there was no answer.
+  nlohmann::json body;  // An object; empty if there is no readable answer.
 };
 
-// Makes one call and waits for its answer. If there is none, or it cannot be
-// read, that is told on standard error.
+// Makes one call and waits for its answer. A missing or unreadable answer is
+// reported on standard error.
 ApiAnswer CallApi(const CommandContext& context,
                   const std::string& method,
                   const std::string& target,
--- a/src/app/chestnutport/command_evacuation.cc
+++ b/src/app/chestnutport/command_evacuation.cc
@@ -17,7 +17,7 @@
   return text.empty() ? "none" : text;
 }
 
-// Without a plan among the words, shows one; with it, confirms it.
+// Shows a plan, or confirms the plan in `args` if there is one.
 ExitCode PlanOrConfirm(const CommandContext& context,
                        const std::string& command,
                        const Arguments& args) {
--- a/src/app/chestnutport/command_metrics.cc
+++ b/src/app/chestnutport/command_metrics.cc
@@ -14,7 +14,7 @@
 
 constexpr double kBarLength = 50;
 
-// "3.4ms": three digits and the unit that suits.
+// Returns a duration such as "3.4ms", with three significant digits.
 std::string DurationText(double seconds) {
   if (seconds < 1e-3)
     return absl::StrFormat("%.3gus", seconds * 1e6);
@@ -28,7 +28,7 @@
                       DurationText(row.at(field).get<double>()));
 }
 
-// A line a bucket: its upper end, a bar, and the count.
+// Prints a line per bucket: its upper bound, a bar and the count.
 void PrintBars(const json& buckets) {
   uint64_t max_count = 1;
   for (const json& bucket : buckets)
--- a/src/app/chestnutport/command_plan.cc
+++ b/src/app/chestnutport/command_plan.cc
@@ -55,7 +55,7 @@
   const ApiAnswer answer = CallApi(context, "POST", "/v1/plan", body.dump());
   if (!PrintJsonOrError(context, answer))
     PrintPlan(answer.body, args[0]);
-  // A plan changes nothing, whatever became of it.
+  // Planning changes nothing, even if its outcome is unknown.
   return answer.exit_code == kExitUnknown ? kExitUnreachable : answer.exit_code;
 }
 
--- a/src/app/chestnutport/command_quarantine.cc
+++ b/src/app/chestnutport/command_quarantine.cc
@@ -10,7 +10,8 @@
 
 using nlohmann::json;
 
-// The ends of servers in one text: where, how long ago, after how long a run.
+// Returns the server crashes of a request as one line: the node of each, how
+// long ago it happened and how long the request had run.
 std::string FormatCrashes(const json& request) {
   std::string text;
   for (const json& end : request.at("ends")) {
--- a/src/app/chestnutport/command_servers.cc
+++ b/src/app/chestnutport/command_servers.cc
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// The members that have a server, by service and name.
+// Returns the members that have a server, sorted by service and name.
 json MembersWithServer(const json& members) {
   std::vector<json> servers;
   for (json member : members) {
--- a/src/app/chestnutport/commands.cc
+++ b/src/app/chestnutport/commands.cc
@@ -112,7 +112,7 @@
   try {
     return command->run(context, Arguments(args.begin() + 1, args.end()));
   } catch (const std::exception& error) {
-    // Also a write may have got this far.
+    // The command may have been a write that took effect.
     std::cerr << "chestnutport: cannot read the node's answer: " << error.what()
               << "\n";
     return kExitUnknown;
--- a/src/app/chestnutport/commands.h
+++ b/src/app/chestnutport/commands.h
@@ -1,4 +1,4 @@
-// The commands that an operator gives.
+// The commands of the operators' command line.
 #ifndef CHESTNUTPORT_COMMANDS_H_
 #define CHESTNUTPORT_COMMANDS_H_
 
@@ -18,29 +18,30 @@
 struct CommandContext {
   base::SocketAddress node;
   std::string token;
-  std::string settings_file;  // For check; empty: none.
-  std::string service;        // For metrics; empty: all.
-  std::string tenant;         // For metrics; empty: all.
-  bool json = false;          // Print JSON in place of text.
-  base::Duration wait{};      // For confirm: until in force everywhere.
+  std::string settings_file;  // For check; may be empty.
+  std::string service;        // For metrics; all if empty.
+  std::string tenant;         // For metrics; all if empty.
+  bool json = false;          // Print JSON instead of text.
+  base::Duration wait{};  // For confirm: longest wait until all nodes have it.
 };
 
 struct Command {
   std::string_view name;
   std::string_view arguments;
   std::string_view help;
-  // `words` are the arguments, without the command's name.
+  // `args` excludes the command's name.
   ExitCode (*run)(const CommandContext& context, const Arguments& args);
 };
 
-// All commands, in the order of the help.
+// Returns all commands in the order of the help text.
 std::span<const Command> AllCommands();
 
-// The help of all commands, or of the one named.
+// Returns the help text of `command`, or of all commands if there is no command
+// of that name.
 std::string HelpText(std::string_view command = "");
 
-// Runs the command named by the first of `words`, the others being its
-// arguments; writes to standard output and error.
+// Runs the command named by the first of `args`, which must not be empty, with
+// the others as its arguments. Writes to standard output and error.
 ExitCode RunCommand(const CommandContext& context, const Arguments& args);
 
 ExitCode Check(const CommandContext& context, const Arguments& args);
--- a/src/app/chestnutport/declarations_folder.h
+++ b/src/app/chestnutport/declarations_folder.h
@@ -1,4 +1,4 @@
-// A folder of declarations, one INI file a service.
+// Reads a folder of declarations with one INI file per service.
 #ifndef CHESTNUTPORT_DECLARATIONS_FOLDER_H_
 #define CHESTNUTPORT_DECLARATIONS_FOLDER_H_
 
@@ -9,8 +9,8 @@
 
 namespace chestnutport::cli {
 
-// Reads and checks every .ini file of `folder`. The result may be used only if
-// `problems` stayed empty.
+// Reads and checks every .ini file in `folder`. The result is valid only if no
+// problems were added to `problems`.
 declarations::DeclarationTexts ReadFolder(const std::string& folder,
                                           settings::Problems& problems);
 
--- a/src/app/chestnutport/main.cc
+++ b/src/app/chestnutport/main.cc
@@ -1,4 +1,4 @@
-// The operators' command.
+// The operators' command line program.
 #include <algorithm>
 #include <cstdlib>
 #include <iostream>
@@ -35,8 +35,8 @@
   return cli::kExitUsage;
 }
 
-// Abseil ends the process with 1 at a flag that it does not know, which a
-// script would take for a refusal by the node.
+// Unknown flags are rejected before Abseil parses them: Abseil would exit with
+// 1, which scripts interpret as a refusal by the node.
 bool IsKnownFlag(std::string_view word) {
   if (!word.starts_with("--") || word.starts_with("--help"))
     return true;
@@ -49,7 +49,7 @@
 
 int main(int argc, char** argv) {
   for (int i = 1; i < argc; ++i) {
-    // The flag library adds a text of its own, on flags that are not ours.
+    // Abseil's own help would add text about unrelated flags.
     if (std::string_view(argv[i]) == "--help") {
       std::cout << cli::HelpText("");
       return cli::kExitDone;
--- a/src/app/chestnutport/output.cc
+++ b/src/app/chestnutport/output.cc
@@ -12,7 +12,7 @@
 
 constexpr size_t kMaxCellWidth = 40;
 constexpr size_t kColumnGap = 2;
-constexpr size_t kMaxListItems = 4;  // Of a list in a cell.
+constexpr size_t kMaxListItems = 4;  // Items of a list shown in one cell.
 
 std::string Cell(const json& value) {
   if (value.is_null())
--- a/src/app/chestnutport/output.h
+++ b/src/app/chestnutport/output.h
@@ -1,4 +1,4 @@
-// What the operators' command prints.
+// Output of the operators' command line.
 #ifndef CHESTNUTPORT_OUTPUT_H_
 #define CHESTNUTPORT_OUTPUT_H_
 
@@ -11,18 +11,19 @@
 
 namespace chestnutport::cli {
 
-// A column of a table: its title, and the name of the field it shows.
+// A column of a table: its title and the name of the JSON field it shows.
 struct Column {
   const char* title;
   const char* field;
 };
 
-// The objects in `rows`, one a line, with columns of equal width.
+// Returns a text table with a line of titles and one line per object in `rows`.
 std::string Table(const std::vector<Column>& columns,
                   const nlohmann::json& rows);
 
-// Prints the answer as JSON, or an error as text. True if that was all; false
-// if the caller is to print the text of a success.
+// Prints the answer as JSON if requested, or else an error as text. Returns
+// false if nothing was printed because the call succeeded and the caller has to
+// print the result as text.
 bool PrintJsonOrError(const CommandContext& context, const ApiAnswer& answer);
 
 }  // namespace chestnutport::cli
--- a/src/app/chestnutportd/main.cc
+++ b/src/app/chestnutportd/main.cc
@@ -1,4 +1,4 @@
-// The node that runs beside each server.
+// The daemon: runs the node next to each server.
 #include <csignal>
 #include <iostream>
 #include <string>
@@ -38,7 +38,7 @@
       "runs one chestnutport node\n\n  chestnutportd --settings=node.ini\n\n"
       "The file's settings:\n" +
       settings::SettingsHelp();
-  // The flag library adds a text of its own, on flags that are not ours.
+  // Abseil's own help would add text about unrelated flags.
   if (argc > 1 && std::string_view(argv[1]) == "--help") {
     std::cout << help;
     return kExitDone;
--- a/tests/auto/platform/hosted_caller_protocol_test.cc
+++ b/tests/auto/platform/hosted_caller_protocol_test.cc
@@ -1,4 +1,4 @@
-// What a caller's request on the platform becomes, and what it is told.
+// Requests of callers on the hosted platform and the errors sent to them.
 #include "platform/hosted_caller_protocol.h"
 
 #include <catch2/catch.hpp>
@@ -30,7 +30,7 @@
   return {.method = "GET", .target = "/p/x?y", .headers = std::move(headers)};
 }
 
-TEST_CASE("a request is read by its route") {
+TEST_CASE("a request gets the values of its route") {
   const HostedCallerProtocol protocol("laudo");
   base::Random random(1);
   const auto read = protocol.Read(Routes(),
@@ -48,7 +48,7 @@
   CHECK(read.value().max_servers == 2);
   CHECK(read.value().traffic_class == "urgency-2");
 
-  SECTION("and bears nobody else's word") {
+  SECTION("headers that callers must not set are removed or replaced") {
     const auto& headers = read.value().http.headers;
     CHECK(FindHeader(headers, "Caller-Service") == "laudo");
     CHECK(FindHeader(headers, "Request-Id") == "r1");
@@ -59,7 +59,8 @@
   }
 }
 
-TEST_CASE("the shorter of the caller's deadline and the route's counts") {
+TEST_CASE(
+    "the shorter of the caller's deadline and the route's timeout applies") {
   const HostedCallerProtocol protocol("laudo");
   base::Random random(1);
   CHECK(protocol.Read(Routes(), Get({{"Deadline-Ms", "5000"}}), random)
@@ -72,7 +73,7 @@
                        .error()) == ErrorKind::kInvalidDeadline);
 }
 
-TEST_CASE("without a configuration nothing is said to be unknown") {
+TEST_CASE("without a configuration no service is reported as unknown") {
   const HostedCallerProtocol protocol("laudo");
   base::Random random(1);
   CHECK(base::KindOf(protocol.Read({}, Get({}), random).error()) ==
@@ -86,7 +87,7 @@
         ErrorKind::kUnknownService);
 }
 
-TEST_CASE("an error promises only what is known") {
+TEST_CASE("only an error of a request that did not run has status 503") {
   const HostedCallerProtocol protocol("laudo");
   for (const base::ErrorAnswer& row : base::ErrorTable()) {
     const auto answer =
--- a/tests/auto/platform/hosted_configuration_form_test.cc
+++ b/tests/auto/platform/hosted_configuration_form_test.cc
@@ -1,4 +1,4 @@
-// The configuration as the platform's operators write it.
+// Configuration documents of the hosted platform.
 #include "platform/hosted_configuration_format.h"
 
 #include <catch2/catch.hpp>
@@ -24,7 +24,7 @@
   return format.Parse(7, {{format.HeadKey(), text}});
 }
 
-TEST_CASE("an entry says its version and brings its document along") {
+TEST_CASE("the head is read from the entry that holds the document") {
   const HostedConfigurationFormat format;
   const auto published = format.ReadHead(kDocument);
   REQUIRE(published);
@@ -33,14 +33,14 @@
   CHECK(published->head.manifest.begin()->second ==
         published->documents.begin()->first);
 
-  SECTION("what is no configuration is not taken for one") {
+  SECTION("an invalid configuration is rejected") {
     const char* text = GENERATE("", "no json", "[]", "{}", R"({"version":0})",
                                 R"({"version":"7"})");
     CHECK_FALSE(format.ReadHead(text));
   }
 }
 
-TEST_CASE("a document that is nested very deeply is refused, not fatal") {
+TEST_CASE("a very deeply nested document does not exhaust the stack") {
   const HostedConfigurationFormat format;
   CHECK_FALSE(format.ReadHead(std::string(1000000, '[')));
   const std::string deep = R"({"version":7,"routes":)" +
@@ -66,7 +66,7 @@
   CHECK(configuration.services[2].cold_rate == 0);
 }
 
-TEST_CASE("the longest prefix of the host decides") {
+TEST_CASE("the route with the longest matching path prefix is used") {
   const auto configuration = Parse(kDocument);
   REQUIRE(configuration.routes.size() == 2);
   REQUIRE(configuration.routes.Match("a.example", "/p/long/x"));
@@ -75,7 +75,7 @@
   CHECK_FALSE(configuration.routes.Match("a.example", "/q/"));
   CHECK_FALSE(configuration.routes.Match("b.example", "/p/"));
 
-  SECTION("and says what a request may cost") {
+  SECTION("its limits are read") {
     const auto* route = configuration.routes.Match("a.example", "/p/");
     CHECK_FALSE(route->is_repeatable);
     CHECK(route->timeout == std::chrono::milliseconds(1200));
@@ -83,7 +83,7 @@
     CHECK(route->max_servers == 2);
     CHECK(route->urgency == 1);
   }
-  SECTION("and a split gives each service its weight") {
+  SECTION("a traffic split selects services by weight") {
     base::Random random(1);
     std::map<std::string, int> drawn;
     for (int i = 0; i < 10000; ++i)
@@ -95,7 +95,7 @@
   }
 }
 
-TEST_CASE("services and limits are taken over") {
+TEST_CASE("services and limits are read") {
   const auto configuration = Parse(kDocument);
   REQUIRE(configuration.FindService("one"));
   CHECK(configuration.FindService("one")->health_path == "/healthz");
@@ -105,7 +105,7 @@
   CHECK(configuration.limits.idle == std::chrono::seconds(15));
 }
 
-TEST_CASE("a document with parts of the wrong kind is read as far as it goes") {
+TEST_CASE("values of the wrong type in a document are ignored") {
   const auto configuration =
       Parse(R"({"version":7,"routes":{"columns":["host","attempts",3],)"
             R"("rows":[["h","x"],["i"],"no row"]},"services":7,"limits":[]})");
--- a/tests/auto/platform/hosted_path_test.cc
+++ b/tests/auto/platform/hosted_path_test.cc
@@ -1,5 +1,5 @@
-// Real nodes on the stand-in of the hosted platform: from the configuration in
-// the store to the answer of a server.
+// Node processes on the stand-in of the hosted platform, from the configuration
+// in the store to the response of a server.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -15,7 +15,7 @@
 
 using net::FindHeader;
 
-// A configuration whose one route goes to `service`.
+// Returns a configuration with one route, for `prefix`.
 std::string ConfigurationText(int version, const std::string& prefix) {
   return absl::StrCat(
       R"({"version":)", version,
@@ -63,12 +63,12 @@
   std::filesystem::path folder_;
 };
 
-TEST_CASE("a node that knows no configuration promises nothing") {
+TEST_CASE("a node without a configuration is not ready and answers 503") {
   HostedFleet fleet;
   CHECK_FALSE(fleet.one->IsReady());
   CHECK(fleet.one->Call("/p/x", "r1").status == 503);
 
-  SECTION("and takes it up when it is written, and each later one") {
+  SECTION("it applies a configuration when it is written, and each later one") {
     HostedServer& server = fleet.platform.AddServer("dossie", "i-1");
     fleet.Configure(7, "/p/");
     fleet.one->Announce(server, "ready", 1);
@@ -79,13 +79,13 @@
     CHECK(
         WaitUntil([&] { return fleet.one->Call("/q/x", "r4").status == 200; }));
     CHECK(fleet.one->Call("/p/x", "r5").status == 404);
-    // An older one that comes late changes nothing.
+    // An older revision that is written later is ignored.
     fleet.platform.Put("op/config", ConfigurationText(8, "/p/"));
     CHECK(fleet.one->Call("/q/x", "r6").status == 200);
   }
 }
 
-TEST_CASE("a server gets a request with what it expects") {
+TEST_CASE("requests forwarded to a server") {
   HostedFleet fleet;
   HostedServer& server = fleet.platform.AddServer("dossie", "i-1");
   fleet.Configure(7, "/p/");
@@ -93,7 +93,7 @@
   REQUIRE(
       WaitUntil([&] { return fleet.one->Call("/p/x", "r1").status == 200; }));
 
-  SECTION("its deadline, its start, and where it came from") {
+  SECTION("carry the deadline, the expected instance and the origin service") {
     net::HttpRequest seen;
     fleet.platform.Run([&] { seen = server.requests.back(); });
     CHECK(FindHeader(seen.headers, "Caller-Service") == "dossie");
@@ -102,7 +102,7 @@
           1500);
     CHECK(FindHeader(seen.headers, "Chestnutport-Attempt").empty());
   }
-  SECTION("and none after it said that it drains") {
+  SECTION("stop after the server announced that it is draining") {
     fleet.one->Announce(server, "draining", 2);
     const size_t before = fleet.platform.RequestCount(server);
     const auto answer = fleet.one->Call("/p/x", "r2");
@@ -110,12 +110,12 @@
     CHECK_FALSE(FindHeader(answer.headers, "Retry-After").empty());
     CHECK(fleet.platform.RequestCount(server) == before);
 
-    SECTION("nor because of a late word from before") {
+    SECTION("also if an earlier announcement arrives late") {
       fleet.one->Announce(server, "ready", 1);
       CHECK(fleet.one->Call("/p/x", "r3").status == 503);
     }
   }
-  SECTION("and what bears no proof is not handed on") {
+  SECTION("a response without a signature is not forwarded") {
     fleet.platform.Run([&] {
       server.answer = [](const net::HttpRequest&) {
         return net::HttpAnswer{.status = 200, .headers = {}, .body = "forged"};
@@ -125,7 +125,7 @@
     CHECK(answer.status == 502);
     CHECK(answer.body.find("forged") == std::string::npos);
   }
-  SECTION("and one that is replaced is left alone until it speaks up") {
+  SECTION("a replaced server gets no requests until it announces itself") {
     fleet.platform.Run([&] {
       server.answer = [](const net::HttpRequest&) {
         return net::HttpAnswer{.status = 421,
@@ -139,20 +139,20 @@
   }
 }
 
-TEST_CASE("a node that starts beside a running server finds it by itself") {
+TEST_CASE("a node that starts after its local server discovers it") {
   HostedFleet fleet;
   HostedServer& server = fleet.platform.AddServer("dossie", "i-1");
   fleet.platform.Put("op/config", ConfigurationText(7, "/p/"));
   fleet.AddSecondNode(server.listener->address().ToString());
   CHECK(WaitUntil([&] { return fleet.two->Call("/p/x", "r").status == 200; }));
 
-  SECTION("and takes its later word over what it found") {
+  SECTION("a later announcement overrides what was discovered") {
     fleet.two->Announce(server, "draining", 5);
     CHECK(fleet.two->Call("/p/x", "r2").status == 503);
   }
 }
 
-// Those that begin so.
+// Returns the calls that start with `begin`.
 std::vector<std::string> CallsWithPrefix(const std::vector<std::string>& calls,
                                          std::string_view begin) {
   std::vector<std::string> found;
@@ -162,14 +162,14 @@
   return found;
 }
 
-TEST_CASE("a node that starts asks the store for little") {
+TEST_CASE("a starting node puts little load on the store") {
   constexpr std::string_view kListing = "/chestnutport/kv-range?";
   constexpr std::string_view kWatch = "/chestnutport/kv-watch?";
   constexpr std::string_view kRead = "/chestnutport/kv-key?";
   HostedFleet fleet;
   fleet.Configure(7, "/p/");
 
-  SECTION("a watch only once it has read twice: then it knows the others") {
+  SECTION("it watches only after two reads, when it knows the other nodes") {
     std::vector<std::string> calls;
     REQUIRE(WaitUntil([&] {
       calls = fleet.platform.StoreCalls();
@@ -180,7 +180,7 @@
     const std::vector<std::string> before(calls.begin(), watch);
     CHECK(CallsWithPrefix(before, kRead).size() >= 2);
   }
-  SECTION("first a listing that may be old, and one of now as it is alone") {
+  SECTION("its first listing may be stale, the next is not as it is alone") {
     std::vector<std::string> listings;
     REQUIRE(WaitUntil([&] {
       listings = CallsWithPrefix(fleet.platform.StoreCalls(), kListing);
@@ -191,7 +191,7 @@
   }
 }
 
-TEST_CASE("a slow server's node hands work to another, unrun") {
+TEST_CASE("requests move unrun from the node of a slow server to another") {
   HostedFleet fleet;
   HostedServer& slow = fleet.platform.AddServer("dossie", "i-slow");
   HostedServer& fast = fleet.platform.AddServer("dossie", "i-fast");
@@ -201,7 +201,7 @@
   REQUIRE(WaitUntil([&] { return fleet.two->IsReady(); }));
   fleet.one->Announce(slow, "ready", 1);
   fleet.two->Announce(fast, "ready", 1);
-  // Until both nodes know of each other and have probed their servers.
+  // Waits until the nodes know each other and have probed their servers.
   REQUIRE(WaitUntil([&] {
     fleet.one->Call("/p/x", "warm");
     return fleet.platform.RequestCount(fast) > 0;
@@ -212,7 +212,7 @@
   CHECK(fleet.platform.RequestCount(slow) == before);
 }
 
-TEST_CASE("an evacuated data centre's server gets no new work") {
+TEST_CASE("a server in an evacuated data centre gets no new requests") {
   HostedFleet fleet;
   HostedServer& here = fleet.platform.AddServer("dossie", "i-one");
   HostedServer& there = fleet.platform.AddServer("dossie", "i-two");
@@ -240,20 +240,20 @@
   }));
   size_t before = fleet.platform.RequestCount(here);
 
-  SECTION("and its node still takes callers") {
+  SECTION("its node still accepts requests of callers") {
     for (int i = 0; i < 10; ++i) {
       CHECK(fleet.one->Call("/p/x", absl::StrCat("a", i)).status == 200);
       CHECK(fleet.two->Call("/p/x", absl::StrCat("b", i)).status == 200);
     }
     CHECK(fleet.platform.RequestCount(here) == before);
   }
-  SECTION("while the store is down, too") {
+  SECTION("also while the store is unavailable") {
     fleet.platform.set_failure(503);
     CHECK(fleet.two->Call("/p/x", "c").status == 200);
     CHECK(fleet.platform.RequestCount(here) == before);
     CHECK(is_evacuated(*fleet.one, "one"));
   }
-  SECTION("a service that has servers nowhere else is refused at once") {
+  SECTION("requests fail at once if no other data centre has servers") {
     fleet.platform.Put("op/evacuate/far", "{}");
     REQUIRE(WaitUntil([&] { return is_evacuated(*fleet.one, "far"); }));
     before += fleet.platform.RequestCount(there);
@@ -262,7 +262,7 @@
               fleet.platform.RequestCount(there) ==
           before);
   }
-  SECTION("until it is taken back") {
+  SECTION("until the evacuation ends") {
     fleet.platform.Remove("op/evacuate/one");
     CHECK(WaitUntil([&] {
       fleet.one->Call("/p/x", "e");
@@ -271,8 +271,7 @@
   }
 }
 
-TEST_CASE(
-    "a node lives on when its settings change, and when its store fails") {
+TEST_CASE("a node keeps serving when its settings change or the store fails") {
   HostedFleet fleet;
   HostedServer& server = fleet.platform.AddServer("dossie", "i-1");
   fleet.Configure(7, "/p/");
--- a/tests/auto/platform/hosted_server_protocol_test.cc
+++ b/tests/auto/platform/hosted_server_protocol_test.cc
@@ -1,4 +1,4 @@
-// What a server on the platform is told, and what its answers say.
+// Requests to servers on the hosted platform and their responses.
 #include "platform/hosted_server_protocol.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
   return {.status = status, .headers = std::move(headers), .body = ""};
 }
 
-TEST_CASE("a server is told what is left and which start is meant") {
+TEST_CASE("a request carries the remaining time and the expected instance") {
   const HostedServerProtocol protocol;
   net::HttpRequest request{
       .method = "GET",
@@ -26,7 +26,7 @@
   CHECK(FindHeader(request.headers, "Chestnutport-Attempt").empty());
 }
 
-TEST_CASE("only what bears a proof is a success") {
+TEST_CASE("a successful response needs a signature") {
   const HostedServerProtocol protocol;
   CHECK(protocol.ClassifyResponse(Head(200, {{"Response-Signature", "s"}})) ==
         ServerVerdict::kAnswered);
@@ -37,19 +37,19 @@
   CHECK(protocol.ClassifyResponse(Head(500, {})) == ServerVerdict::kAnswered);
 }
 
-TEST_CASE("a refusal is believed only with its own header") {
+TEST_CASE("a rejection needs the Not-Executed header") {
   const HostedServerProtocol protocol;
   const int status = GENERATE(503, 429, 408);
   CHECK(protocol.ClassifyResponse(Head(status, {{"Not-Executed", "1"}})) ==
         ServerVerdict::kShed);
-  // Handed on it would promise what nobody knows.
+  // If forwarded, the status would guarantee that the request did not run.
   CHECK(protocol.ClassifyResponse(Head(status, {})) ==
         ServerVerdict::kUnusable);
   CHECK(protocol.ClassifyResponse(Head(421, {{"Instance-Id", "i-2"}})) ==
         ServerVerdict::kOtherInstance);
 }
 
-TEST_CASE("the load tells how slow the VM is, if the server says so") {
+TEST_CASE("the load includes the slowness of the VM if the server reports it") {
   const HostedServerProtocol protocol;
   const auto load = protocol.Load({{"Instance-Load", "3,1,8,400"}});
   REQUIRE(load);
--- a/tests/auto/platform/hosted_store_form_test.cc
+++ b/tests/auto/platform/hosted_store_form_test.cc
@@ -1,4 +1,4 @@
-// What the hosted store is asked, and what its answers mean.
+// Requests to the hosted platform's store and its responses.
 #include "platform/hosted_store_protocol.h"
 
 #include <catch2/catch.hpp>
@@ -21,12 +21,12 @@
                     {"revision", 412},
                     {"asOf", 530}};
 
-TEST_CASE("one key is read") {
+TEST_CASE("a read of one key") {
   const HostedStoreProtocol protocol;
   CHECK(protocol.Read("a b/c&d").target ==
         "/chestnutport/kv-key?key=a%20b/c%26d");
 
-  SECTION("that is there") {
+  SECTION("returns an existing entry") {
     const auto page = protocol.ParseEntry(Answer(200, kItem));
     REQUIRE(page);
     REQUIRE(page.value().entries.size() == 1);
@@ -34,13 +34,13 @@
     CHECK(page.value().entries[0].revision == 412);
     CHECK(page.value().as_of == 530);
   }
-  SECTION("that is not there: no entry, and no error") {
+  SECTION("returns no entry and no error for a missing key") {
     const auto page = protocol.ParseEntry(Answer(404, {{"asOf", 7}}));
     REQUIRE(page);
     CHECK(page.value().entries.empty());
     CHECK(page.value().as_of == 7);
   }
-  SECTION("from a store that does not answer in its form: an error") {
+  SECTION("fails on a malformed or failed response") {
     const auto answer =
         GENERATE(Answer(503, json::object()), Answer(429, json::object()),
                  Answer(200, json::array()), Answer(200, {{"key", 7}}),
@@ -49,7 +49,7 @@
   }
 }
 
-TEST_CASE("a list is read page by page") {
+TEST_CASE("a listing is read in pages") {
   const HostedStoreProtocol protocol;
   CHECK(protocol.List("a/", "", store::Freshness::kLatest).target ==
         "/chestnutport/kv-range?prefix=a/");
@@ -65,7 +65,7 @@
   CHECK_FALSE(protocol.ParsePage(Answer(200, {{"items", 7}})));
 }
 
-TEST_CASE("what another writer spoilt leaves the other entries of a list") {
+TEST_CASE("a corrupt entry does not affect the other entries of a listing") {
   const HostedStoreProtocol protocol;
   const json corrupt =
       GENERATE(json{{"key", "a/2"}, {"value", "no base64!"}, {"revision", 6}},
@@ -78,14 +78,14 @@
   CHECK(page.value().entries[0].value == "hello");
   CHECK(page.value().without_key == 2);
 
-  SECTION("and can be written over, as its revision is known") {
+  SECTION("its revision is known, so that it can be overwritten") {
     CHECK(page.value().entries[1].key == "a/2");
     CHECK(page.value().entries[1].value.empty());
     CHECK(page.value().entries[1].revision == 6);
   }
 }
 
-TEST_CASE("a write under a condition tells what became of it") {
+TEST_CASE("a conditional write reports its outcome") {
   const HostedStoreProtocol protocol;
   const auto request = protocol.Swap({"k", 3, "v", 77});
   const json body = json::parse(request.body);
@@ -101,7 +101,7 @@
         ErrorKind::kStoreOutcomeUnknown);
 }
 
-TEST_CASE("a lease is taken and kept") {
+TEST_CASE("a lease is granted and kept alive") {
   const HostedStoreProtocol protocol;
   const auto grant = protocol.Grant(std::chrono::seconds(3));
   CHECK(json::parse(grant.body)["ttl_time"] == "3000ms");
@@ -112,12 +112,12 @@
   CHECK_FALSE(protocol.ParseKeepAlive(Answer(404, json::object())).value());
 }
 
-TEST_CASE("a watch brings what changed") {
+TEST_CASE("a watch returns changes") {
   const HostedStoreProtocol protocol;
   CHECK(protocol.Watch("op/", 411, std::chrono::seconds(5)).target ==
         "/chestnutport/kv-watch?prefix=op/&after=411&waitMs=5000");
 
-  SECTION("changes, but not what is gone") {
+  SECTION("deleted entries are not among the changed ones") {
     const auto changes = protocol.ParseChanges(Answer(
         200, {{"events",
                {kItem, {{"key", "x"}, {"revision", 413}, {"deleted", true}}}},
@@ -127,12 +127,12 @@
     CHECK(changes.value().as_of == 413);
     CHECK_FALSE(changes.value().changes_missed);
   }
-  SECTION("or that changes were missed") {
+  SECTION("missed changes are reported") {
     CHECK(protocol.ParseChanges(Answer(410, json::object()))
               .value()
               .changes_missed);
   }
-  SECTION("or nothing, from a store that does not know what it says") {
+  SECTION("a malformed response is an error") {
     CHECK_FALSE(protocol.ParseChanges(Answer(200, {{"events", 1}})));
   }
 }
--- a/tests/auto/platform/lost_store_test.cc
+++ b/tests/auto/platform/lost_store_test.cc
@@ -1,4 +1,5 @@
-// Real nodes of which only one still reaches the store, whichever it is.
+// Guards against configuration changes that do not reach all nodes while only
+// one node, whichever it is, can reach the store.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <filesystem>
@@ -18,7 +19,7 @@
 namespace chestnutport::test {
 namespace {
 
-// A configuration without services, which says only its revision.
+// Returns a configuration with only a revision.
 std::string ConfigurationText(uint64_t revision) {
   return absl::StrCat(R"({"version":)", revision,
                       R"(,"routes":{"columns":["name"],"rows":[]},)",
@@ -26,7 +27,7 @@
                       R"("limits":{}})");
 }
 
-// Nodes of one data centre, each with a way to the store of its own.
+// Nodes of one data centre, each connected to the store by its own relay.
 class RelayedFleet {
  public:
   explicit RelayedFleet(size_t nodes)
@@ -55,7 +56,7 @@
     });
   }
 
-  // Cuts the others off, and opens the way of `index`.
+  // Connects the node at `index` to the store and disconnects all others.
   void ConnectOnly(size_t index) {
     relays_[index]->Cut(false);
     for (size_t i = 0; i < relays_.size(); ++i) {
@@ -64,7 +65,7 @@
     }
   }
 
-  // The first node that leaves reading the store to others.
+  // Returns the index of the first node that does not read the store.
   std::optional<size_t> FirstNonReader() const {
     for (size_t i = 0; i < nodes_.size(); ++i) {
       if (!StatusOf(*nodes_[i]).value("reads_store", true))
@@ -73,7 +74,8 @@
     return std::nullopt;
   }
 
-  // An operator writes the next revision to the store. Whether all take it.
+  // Writes the next revision to the store as an operator. Returns whether all
+  // nodes apply it.
   bool ChangeReachesAll() {
     platform_.Put("op/config", ConfigurationText(++revision_));
     return WaitUntil([this] {
@@ -95,8 +97,8 @@
   std::vector<std::unique_ptr<HostedNode>> nodes_;
 };
 
-TEST_CASE("a change is in force everywhere while one node reaches the store") {
-  SECTION("of a few nodes, whichever that is") {
+TEST_CASE("a change reaches all nodes while one node can reach the store") {
+  SECTION("in a small fleet, with any of its nodes") {
     constexpr size_t kNodes = 5;
     RelayedFleet fleet(kNodes);
     REQUIRE(fleet.WaitForFullMembership());
@@ -107,7 +109,7 @@
       REQUIRE(fleet.ChangeReachesAll());
     }
   }
-  SECTION("of more nodes than read it, one that did not") {
+  SECTION("in a larger fleet, with a node that did not read the store before") {
     RelayedFleet fleet(configuration::kSmallFleetSize + 4);
     REQUIRE(fleet.WaitForFullMembership());
     REQUIRE(fleet.ChangeReachesAll());
--- a/tests/auto/platform/replaced_server_test.cc
+++ b/tests/auto/platform/replaced_server_test.cc
@@ -1,19 +1,11 @@
-// What users saw: servers that had come back stood idle until the end of the
-// day, three of seven for 55 s, while the others were full.
-//
-// Order of events: a server ends, and is started anew at its address. A request
-// that was meant for the start before reaches the new one, which refuses it, as
-// it has to. Meanwhile the new start has announced itself to its node. Then the
-// node reads the refusal.
-//
-// Cause: the node took the refusal for a word on the server that it knew by
-// then: another one holds the address, so nothing may be sent there until it
-// announces itself anew. It had done so, and does not start again.
-//
-// Evidence: the node's line on the refusal names the same start as the one that
-// was expected and the one that was found, 1.5 ms after that start had
-// announced itself. From then on each request was answered that there is no
-// server; the server got none.
+// Guards against a restarted server that stays idle. When a server restarts at
+// the same address, a request meant for its previous instance is rejected with
+// 421 by the new one. If the new instance announces itself before its node
+// reads that response, the node must not conclude that the address belongs to
+// yet another instance: it would send nothing more until the next announcement,
+// which never comes, and reject all requests because it has no server. Three of
+// seven servers stood idle for 55 s in this way while the others were full; the
+// 421 was read 1.5 ms after the announcement.
 #include <catch2/catch.hpp>
 
 #include "platform/hosted_server_protocol.h"
@@ -28,7 +20,7 @@
   return {.status = kMisdirected, .headers = {{"Instance-Id", instance}}};
 }
 
-TEST_CASE("a server is started anew while a request to it is on its way") {
+TEST_CASE("a server restarts while a request to it is in flight") {
   GateFixture fixture(
       server::AnyServerProtocol::Of(platform::HostedServerProtocol()));
   fixture.state.instance = "i-1";
@@ -42,12 +34,12 @@
   fixture.pending_replies[0].Send(MisdirectedAnswer("i-2"));
   REQUIRE(fixture.RunUntil([&] { return fixture.results.contains(1); }));
 
-  SECTION("the request has not run, and its caller's node is told so") {
+  SECTION("the request is reported as not run to the caller's node") {
     CHECK(Error(fixture.results[1]) == "server-replaced");
     CHECK(Outcome(fixture.results[1]) == "not-run");
   }
 
-  SECTION("and the server that was announced gets the next") {
+  SECTION("the next request goes to the announced instance") {
     fixture.is_silent = false;
     fixture.answer.headers = {{"Response-Signature", "proof"}};
     CHECK(Outcome(fixture.Run("GET")) == "answered");
@@ -55,7 +47,7 @@
   }
 }
 
-TEST_CASE("another server answers at the address") {
+TEST_CASE("another instance responds at the address") {
   GateFixture fixture(
       server::AnyServerProtocol::Of(platform::HostedServerProtocol()));
   fixture.state.instance = "i-1";
@@ -63,12 +55,12 @@
   fixture.answer = MisdirectedAnswer("i-2");
   CHECK(Error(fixture.Run("GET")) == "server-replaced");
 
-  SECTION("nothing more is sent there") {
+  SECTION("no further request is sent to it") {
     CHECK(Error(fixture.Run("GET")) == "no-server");
     CHECK(fixture.served.size() == 1);
   }
 
-  SECTION("until the one that holds it announces itself") {
+  SECTION("until that instance announces itself") {
     ++fixture.state.life;
     fixture.state.instance = "i-2";
     fixture.Apply();
--- a/tests/support/hosted_node.h
+++ b/tests/support/hosted_node.h
@@ -1,4 +1,4 @@
-// A node on the stand-in of the hosted platform, as a process of its own.
+// A node process on the stand-in of the hosted platform.
 #ifndef SUPPORT_HOSTED_NODE_H_
 #define SUPPORT_HOSTED_NODE_H_
 
@@ -15,8 +15,8 @@
 
 class HostedNode {
  public:
-  // Starts it. `folder` is for its settings; `server_address`: where its server
-  // is looked for. It runs in the data centre "one" unless told otherwise.
+  // Starts the node. `folder` receives its settings file; `server_address` is
+  // the address at which it looks for its local server.
   HostedNode(const std::string& name,
              const base::SocketAddress& store,
              const std::filesystem::path& folder,
@@ -26,11 +26,11 @@
   Process& process() { return *process_; }
 
   bool IsReady() const;
-  // The server beside it says that it is there; `state`: ready or draining.
+  // Sends an announcement of the local server; `state` is ready or draining.
   void Announce(HostedServer& server, const std::string& state, int sequence);
-  // Sends a caller's GET of `path` under the name `id`.
+  // Sends a caller's GET request for `path` with the request id `id`.
   net::HttpAnswer Call(const std::string& path, const std::string& id) const;
-  // An operator's call.
+  // Sends a request to the operators' API.
   net::HttpAnswer Operate(const std::string& method,
                           const std::string& path,
                           const std::string& body = "") const;
--- a/tests/support/hosted_platform.cc
+++ b/tests/support/hosted_platform.cc
@@ -19,7 +19,7 @@
   return base::SocketAddress::Parse("127.0.0.1:0").value();
 }
 
-// The value of a query's parameter, as it was sent.
+// Returns the value of a query parameter without unescaping it.
 std::string QueryParameter(const std::string& target, const std::string& name) {
   const std::string mark = name + "=";
   const size_t start = target.find(mark);
--- a/tests/support/hosted_platform.h
+++ b/tests/support/hosted_platform.h
@@ -1,6 +1,5 @@
-// A small stand-in of the users' hosted platform, in the test's own process:
-// its store, and servers that answer as a test wants. Met by the published form
-// only.
+// A stand-in of the users' hosted platform in the test's process: its store and
+// servers with configurable responses. Follows the published protocol only.
 #ifndef SUPPORT_HOSTED_PLATFORM_H_
 #define SUPPORT_HOSTED_PLATFORM_H_
 
@@ -19,23 +18,23 @@
 
 namespace chestnutport::test {
 
-// A server beside a node. What it answers may be changed while it runs.
+// A server next to a node. Its responses may be changed while it runs.
 struct HostedServer {
   std::string service;
   std::string instance;
-  std::string load = "0,0,12,100";  // As its load header says.
-  int cold_ms = 0;                  // As its health answers say.
-  // Replaces the usual answer, if set.
+  std::string load = "0,0,12,100";  // Value of the load header.
+  int cold_ms = 0;                  // Cold time in health responses.
+  // Replaces the default answer, if set.
   std::function<net::HttpAnswer(const net::HttpRequest&)> answer;
-  // The server ends when it has run such a request for a moment, with all that
-  // it runs; unset: it never does.
+  // Selects the requests that crash the server, with all other requests that it
+  // runs, kCrashDelay after they arrive. If unset, the server never crashes.
   std::function<bool(const net::HttpRequest&)> crashes_on;
-  int crash_count = 0;  // So far.
+  int crash_count = 0;
   base::SocketAddress address;
-  std::vector<net::HttpRequest> requests;  // Without probes.
+  std::vector<net::HttpRequest> requests;  // Probes excluded.
   std::unique_ptr<net::HttpServer> listener;
-  // Takes a request that is answered later, on the platform's thread; returns
-  // whether it did. Unset: it takes none.
+  // Takes over a request to answer it later; called on the platform's thread.
+  // Returns whether it took the request. If unset, no request is deferred.
   std::function<bool(const net::HttpRequest&, net::Reply&)> defer_response;
 };
 
@@ -47,37 +46,40 @@
   HostedPlatform& operator=(const HostedPlatform&) = delete;
 
   base::SocketAddress store_address() const { return store_->address(); }
-  // Writes as the operator does.
+  // Writes an entry as an operator.
   void Put(const std::string& key, const std::string& value);
-  // Deletes as the operator does.
+  // Deletes an entry as an operator.
   void Remove(const std::string& key);
-  // From now on every call to the store is answered with this status; zero: as
-  // usual.
+  // Makes the store answer every further call with `status`; zero restores
+  // normal operation.
   void set_failure(int status) { failure_ = status; }
 
-  // The value of the entry whose key ends so; empty: there is none.
+  // Returns the value of the entry whose key ends with `key_suffix`, or an
+  // empty string if there is none.
   std::string FindValue(const std::string& key_suffix);
-  // The targets of the calls to the store so far, in order.
+  // Returns the targets of all calls to the store so far, in order.
   std::vector<std::string> StoreCalls();
 
   HostedServer& AddServer(const std::string& service,
                           const std::string& instance);
-  // Starts a server anew that has ended, at its address.
+  // Restarts a crashed server at its address.
   void Restart(HostedServer& server, const std::string& instance);
-  // Runs `task` on the thread of the store and the servers, and waits for it.
+  // Runs `task` on the thread of the store and the servers and waits until it
+  // is done.
   void Run(const std::function<void()>& task);
-  // What a server answers as a rule.
+  // Returns a successful, signed answer.
   static net::HttpAnswer DefaultAnswer(const HostedServer& server,
                                        const net::HttpRequest& request);
-  // The requests that a server got so far.
+  // Returns the number of requests that the server received, without probes.
   size_t RequestCount(HostedServer& server);
 
  private:
-  // How long a server runs a request that ends it.
+  // Time between the arrival of a request that crashes its server and the
+  // crash.
   static constexpr std::chrono::milliseconds kCrashDelay{20};
 
   struct Item {
-    std::string value;  // In base64, as it travels.
+    std::string value;  // In base64, as in the protocol.
     int64_t revision = 0;
     bool is_deleted = false;
   };
@@ -93,9 +95,9 @@
                        net::HttpRequest request,
                        net::Reply reply);
   void Listen(HostedServer& server, const base::SocketAddress& address);
-  // Ends the server a moment from now; `reply` is never given.
+  // Crashes the server after kCrashDelay; `reply` is never sent.
   void ScheduleCrash(HostedServer& server, net::Reply reply);
-  // Answers the watches that have news.
+  // Answers the watches for which there are changes.
   void NotifyWatchers();
   std::string EventsAfter(const std::string& prefix, int64_t after) const;
 
