--- a/tests/auto/platform/hosted_caller_protocol_test.cc
+++ b/tests/auto/platform/hosted_caller_protocol_test.cc
@@ -93,10 +93,10 @@
     const auto answer =
         protocol.ErrorAnswer({row.kind, std::chrono::milliseconds(150), "r1"});
     INFO(row.name << " " << answer.status);
-    const bool promises = answer.status == 503;
+    const bool guarantees_not_run = answer.status == 503;
     if (row.outcome != base::Outcome::kNotRun)
       CHECK((answer.status == 502 || answer.status == 504));
-    if (promises) {
+    if (guarantees_not_run) {
       CHECK(FindHeader(answer.headers, "Retry-After") == "0.150");
     } else {
       CHECK(FindHeader(answer.headers, "Retry-After").empty());
--- a/tests/auto/platform/hosted_path_test.cc
+++ b/tests/auto/platform/hosted_path_test.cc
@@ -152,13 +152,13 @@
   }
 }
 
-// Returns the calls that start with `begin`.
+// Returns the calls that start with `prefix`.
 std::vector<std::string> CallsWithPrefix(const std::vector<std::string>& calls,
-                                         std::string_view begin) {
+                                         std::string_view prefix) {
   std::vector<std::string> found;
   std::copy_if(
       calls.begin(), calls.end(), std::back_inserter(found),
-      [&](const std::string& call) { return call.starts_with(begin); });
+      [&](const std::string& call) { return call.starts_with(prefix); });
   return found;
 }
 
