--- a/tests/auto/failures/at_most_once_test.cc
+++ b/tests/auto/failures/at_most_once_test.cc
@@ -22,7 +22,7 @@
 }
 
 // Requests that end between two resets of connections.
-constexpr size_t kBetweenResets = 10;
+constexpr size_t kCallsBetweenResets = 10;
 
 TEST_CASE("a request that may not be repeated runs at most once") {
   SmallFleet small;
@@ -69,7 +69,7 @@
       for (int i = 0; i < 20; ++i) {
         small.b.peer_relay->ResetOpenConnections();
         small.c.peer_relay->ResetOpenConnections();
-        CHECK(callers.WaitForMore(kBetweenResets));
+        CHECK(callers.WaitForMore(kCallsBetweenResets));
       }
     });
   }
--- a/tests/auto/failures/confirmed_configuration_test.cc
+++ b/tests/auto/failures/confirmed_configuration_test.cc
@@ -24,7 +24,7 @@
 constexpr int kStoreCalls = 12;
 
 // The revisions that a node says it put in force, in its order.
-std::vector<uint64_t> History(const Vm& vm) {
+std::vector<uint64_t> RevisionsInForce(const Vm& vm) {
   std::vector<uint64_t> revisions;
   for (const auto& text :
        vm.node->FieldsOf("name=configuration-in-force", "revision")) {
@@ -45,18 +45,18 @@
   explicit RevisionWatch(const Fleet& fleet)
       : fleet_(fleet), thread_([this](const std::stop_token& stop) {
           while (!stop.stop_requested())
-            AskAll();
+            PollAllNodes();
         }) {}
 
   // Ends the watch; what each process of a node said, in order.
-  std::map<std::string, std::vector<uint64_t>> End() {
+  std::map<std::string, std::vector<uint64_t>> Stop() {
     thread_.request_stop();
     thread_.join();
     return seen_;
   }
 
  private:
-  void AskAll() {
+  void PollAllNodes() {
     for (const auto& vm : fleet_.vms()) {
       const auto status = fleet_.Status(*vm);
       if (!status.is_object())
@@ -133,8 +133,8 @@
   }
   SECTION("when the answer to the confirmation is lost") {
     fleet.CommandStore(R"({"mode": "lose-answers"})");
-    const uint64_t told = fleet.Confirm(small.a, Declaration(1));
-    CHECK((told == 0 || told == last + 1));
+    const uint64_t confirmed = fleet.Confirm(small.a, Declaration(1));
+    CHECK((confirmed == 0 || confirmed == last + 1));
     fleet.CommandStore(R"({"mode": "up"})");
     ++last;  // The store had taken it.
     REQUIRE(fleet.WaitAllReady(3, last));
@@ -152,7 +152,7 @@
   SECTION("when a node is replaced") {
     confirm(small.a, 1);
     REQUIRE(fleet.WaitAllReady(3, last));
-    for (const auto& [node, history] : watch->End())
+    for (const auto& [node, history] : watch->Stop())
       CHECK(NeverReverts(history));
     watch.reset();
     fleet.StartNode(small.c);
@@ -163,9 +163,9 @@
   for (const auto& vm : fleet.vms()) {
     INFO(vm->name);
     CHECK(fleet.Status(*vm).value("revision", uint64_t{0}) == last);
-    CHECK(NeverReverts(History(*vm)));
+    CHECK(NeverReverts(RevisionsInForce(*vm)));
   }
-  for (const auto& [node, history] : watch->End()) {
+  for (const auto& [node, history] : watch->Stop()) {
     INFO(node);
     CHECK(NeverReverts(history));
     CHECK(history.back() <= last);
--- a/tests/auto/failures/cut_answer_test.cc
+++ b/tests/auto/failures/cut_answer_test.cc
@@ -10,7 +10,7 @@
 const LoadOptions kLarge{.callers = 48, .answer_bytes = 300000};
 
 // Requests that end between two resets of connections.
-constexpr size_t kBetweenResets = 10;
+constexpr size_t kCallsBetweenResets = 10;
 
 TEST_CASE("a server's own answer is cut") {
   SmallFleet small;
@@ -22,7 +22,7 @@
       for (int i = 0; i < 20; ++i) {
         small.b.server_relay->ResetOpenConnections();
         small.c.peer_relay->ResetOpenConnections();
-        CHECK(callers.WaitForMore(kBetweenResets));
+        CHECK(callers.WaitForMore(kCallsBetweenResets));
       }
     });
   }
--- a/tests/auto/failures/leaving_server_test.cc
+++ b/tests/auto/failures/leaving_server_test.cc
@@ -18,16 +18,17 @@
     return WaitUntil([&] { return fleet.IsLeavingEverywhere(small.b); });
   };
   // Began after the drain was known everywhere: must stay zero.
-  size_t began = 0;
+  size_t started_after_drain = 0;
 
   const auto drain_and_count = [&](const std::function<void()>& drain) {
     return small.RunThrough(kMixed, [&] {
       drain();
       const size_t before = CountStarted(small.b.ledger);
-      Load more({.prefix = "after", .callers = 24}, fleet.CallerAddresses());
-      CHECK(more.WaitForMore(500));
-      more.Stop();
-      began = CountStarted(small.b.ledger) - before;
+      Load later_load({.prefix = "after", .callers = 24},
+                      fleet.CallerAddresses());
+      CHECK(later_load.WaitForMore(500));
+      later_load.Stop();
+      started_after_drain = CountStarted(small.b.ledger) - before;
     });
   };
 
@@ -39,9 +40,10 @@
   }
   SECTION("when the server itself says so") {
     drain_and_count([&] {
-      const auto told = Ask(small.b.server_side_address,
-                            {.method = "POST", .target = "/v1/server/drain"});
-      REQUIRE(told.answer.status == 200);
+      const auto response =
+          Ask(small.b.server_side_address,
+              {.method = "POST", .target = "/v1/server/drain"});
+      REQUIRE(response.answer.status == 200);
       REQUIRE(is_leaving_everywhere());
     });
   }
@@ -75,7 +77,7 @@
       small.c.node->Signal(SIGCONT);
     });
   }
-  CHECK(began == 0);
+  CHECK(started_after_drain == 0);
 }
 
 TEST_CASE("the count sees work on a server that does not leave") {
--- a/tests/auto/failures/measuring_budget_test.cc
+++ b/tests/auto/failures/measuring_budget_test.cc
@@ -14,9 +14,9 @@
 constexpr double kBudget = 0.005;
 constexpr std::chrono::milliseconds kProbeCost(6);
 // Enough to see whether they come too often.
-constexpr int kProbes = 3;
+constexpr int kMinProbes = 3;
 
-int ProbesOf(const Fleet& fleet, const Vm& vm) {
+int ProbeCount(const Fleet& fleet, const Vm& vm) {
   return fleet.CommandServer(vm, "{}").value("probes", 0);
 }
 
@@ -25,16 +25,16 @@
 bool KeepsBudget(const Fleet& fleet,
                  const Vm& vm,
                  std::chrono::steady_clock::time_point server_start) {
-  const int probes = ProbesOf(fleet, vm);
-  const auto given =
+  const int probes = ProbeCount(fleet, vm);
+  const auto allowed =
       kBudget * (std::chrono::steady_clock::now() - server_start);
-  return (probes - 1) * kProbeCost <= given;
+  return (probes - 1) * kProbeCost <= allowed;
 }
 
 // A server without requests is probed every few seconds.
 bool WaitForProbes(const Fleet& fleet, const Vm& vm) {
-  const int before = ProbesOf(fleet, vm);
-  return WaitUntil([&] { return ProbesOf(fleet, vm) >= before + kProbes; },
+  const int before = ProbeCount(fleet, vm);
+  return WaitUntil([&] { return ProbeCount(fleet, vm) >= before + kMinProbes; },
                    std::chrono::minutes(1));
 }
 
--- a/tests/auto/failures/not_run_test.cc
+++ b/tests/auto/failures/not_run_test.cc
@@ -17,7 +17,7 @@
                             .pause = std::chrono::milliseconds(0)};
 
 // Requests that end between two resets of connections.
-constexpr size_t kBetweenResets = 10;
+constexpr size_t kCallsBetweenResets = 10;
 
 TEST_CASE("a request said not to have run did not run") {
   SmallFleet small;
@@ -36,7 +36,7 @@
     audit = small.RunThrough(kOverload, [&](Load& callers) {
       for (int i = 0; i < 20; ++i) {
         small.b.peer_relay->ResetOpenConnections();
-        CHECK(callers.WaitForMore(kBetweenResets));
+        CHECK(callers.WaitForMore(kCallsBetweenResets));
       }
     });
   }
@@ -101,7 +101,7 @@
     audit = small.RunThrough(kMixed, [&](Load& callers) {
       for (int i = 0; i < 20; ++i) {
         small.b.server_relay->ResetOpenConnections();
-        CHECK(callers.WaitForMore(kBetweenResets));
+        CHECK(callers.WaitForMore(kCallsBetweenResets));
       }
     });
   }
--- a/tests/auto/failures/request_ends_servers_test.cc
+++ b/tests/auto/failures/request_ends_servers_test.cc
@@ -45,10 +45,10 @@
 constexpr int kSlots = 12;  // As servers announce.
 // The aim: a request that ended three servers is given to three more at most,
 // once all nodes have heard of the third end, for which they have this time.
-constexpr int kServersToTell = 3;
-constexpr int kMoreAllowed = 3;
-constexpr std::chrono::seconds kTimeToHear(3);
-constexpr int kReturns = 20;
+constexpr int kCrashesToDetect = 3;
+constexpr int kMaxFurtherServers = 3;
+constexpr std::chrono::seconds kDisseminationLimit(3);
+constexpr int kRetries = 20;
 constexpr char kFatalPath[] = "/p/fatal";
 // The same of a request that is sent to one server only.
 constexpr char kFatalWrite[] = "/w/fatal";
@@ -69,9 +69,9 @@
 
 // Nodes with a server each, and callers that send a request again and again
 // that ends the server which runs it.
-class Scene {
+class CrashScenario {
  public:
-  Scene()
+  CrashScenario()
       : folder_(std::filesystem::temp_directory_path() /
                 absl::StrCat("ends-", getpid())) {
     std::filesystem::create_directories(folder_);
@@ -91,60 +91,61 @@
     }
     StartNodes();
   }
-  ~Scene() {
-    std::vector<std::jthread> under_way;
+  ~CrashScenario() {
+    std::vector<std::jthread> pending_calls;
     platform_.Run([&] {
       for (HostedServer* server : servers_)
         server->answers_later = nullptr;
-      under_way.swap(nested_);
+      pending_calls.swap(nested_calls_);
     });
-    under_way.clear();
+    pending_calls.clear();
     for (auto& node : nodes_)
       node.reset();
     std::filesystem::remove_all(folder_);
   }
-  Scene(const Scene&) = delete;
-  Scene& operator=(const Scene&) = delete;
+  CrashScenario(const CrashScenario&) = delete;
+  CrashScenario& operator=(const CrashScenario&) = delete;
 
   // All nodes end at once and are started anew; the servers go on.
   void RestartNodes() {
     for (auto& node : nodes_)
       node.reset();
-    RestartEnded();
+    RestartCrashed();
     StartNodes();
   }
 
   // What the operators of a node are shown: the requests that are held.
-  json Held(size_t node) {
+  json ListedRequests(size_t node) {
     return json::parse(nodes_[node]->Operate("GET", "/v1/quarantine").body)
         .at("requests");
   }
   // Whether every node lists a request with which so many servers ended.
-  bool KnowEverywhere(size_t ends) {
+  bool IsListedEverywhere(size_t crashes) {
     for (size_t node = 0; node < kNodes; ++node) {
-      const json held = Held(node);
-      const bool knows = std::ranges::any_of(held, [ends](const json& request) {
-        return request.at("ends").size() >= ends;
-      });
-      if (!knows)
+      const json listed = ListedRequests(node);
+      const bool is_listed =
+          std::ranges::any_of(listed, [crashes](const json& request) {
+            return request.at("ends").size() >= crashes;
+          });
+      if (!is_listed)
         return false;
     }
     return true;
   }
   // Whether every node knows of one end more than the first hold takes.
-  bool IsHeldForLongEverywhere() {
+  bool IsQuarantinedEverywhere() {
     for (size_t node = 0; node < kNodes; ++node) {
-      const json held = Held(node);
-      if (held.size() != 1 || held[0].at("verdict") != "quarantined" ||
-          held[0].at("ends").size() <= kServersToTell) {
+      const json listed = ListedRequests(node);
+      if (listed.size() != 1 || listed[0].at("verdict") != "quarantined" ||
+          listed[0].at("ends").size() <= kCrashesToDetect) {
         return false;
       }
     }
     return true;
   }
-  bool HoldsNowhere() {
+  bool IsListedNowhere() {
     for (size_t node = 0; node < kNodes; ++node) {
-      if (!Held(node).empty())
+      if (!ListedRequests(node).empty())
         return false;
     }
     return true;
@@ -155,7 +156,7 @@
   }
 
   // Ends that the platform's store holds against the request.
-  int StoredMarks() {
+  int StoredCrashes() {
     const auto stored = quarantine::DecodeEvidence(
         platform_.EntryOf("/quarantine"), base::Clock::now());
     if (!stored || stored->empty())
@@ -165,11 +166,11 @@
 
   // The caller sends the request once more, through the next node; servers that
   // ended by it come back. The status that it gets.
-  int Return(const std::string& path = kFatalPath) {
-    const size_t node = returns_++ % kNodes;
+  int Retry(const std::string& path = kFatalPath) {
+    const size_t node = retries_++ % kNodes;
     const int status =
-        nodes_[node]->Call(path, absl::StrCat("f", returns_)).status;
-    ReviveEnded();
+        nodes_[node]->Call(path, absl::StrCat("f", retries_)).status;
+    RestartAndAnnounceCrashed();
     return status;
   }
 
@@ -182,7 +183,7 @@
     });
     return arrivals;
   }
-  int Ends() {
+  int Crashes() {
     int ends = 0;
     platform_.Run([&] {
       for (const HostedServer* server : servers_)
@@ -200,7 +201,7 @@
   }
 
   // What all nodes wrote, in the order of time.
-  std::string Lines() {
+  std::string LogLines() {
     std::vector<std::string> lines;
     for (const auto& node : nodes_) {
       std::istringstream output(node->process().Output());
@@ -212,11 +213,11 @@
   }
 
   // Whether other requests are served through every node.
-  bool ServesOthers() {
+  bool ServesOtherRequests() {
     return WaitUntil([&] {
       return std::ranges::all_of(nodes_, [&](const auto& node) {
-        return node->Call("/p/other", absl::StrCat("o", ++others_)).status ==
-               200;
+        return node->Call("/p/other", absl::StrCat("o", ++other_requests_))
+                   .status == 200;
       });
     });
   }
@@ -225,13 +226,15 @@
   // The server of node `i` answers the request when its own call through its
   // node has ended, whatever came of it. Runs on the platform's thread.
   void CallFrom(size_t i, const net::HttpRequest& request, net::Reply reply) {
-    auto held = std::make_shared<net::Reply>(std::move(reply));
-    nested_.emplace_back([this, i, request, held = std::move(held)]() mutable {
+    auto pending_reply = std::make_shared<net::Reply>(std::move(reply));
+    nested_calls_.emplace_back([this, i, request,
+                                pending_reply =
+                                    std::move(pending_reply)]() mutable {
       const std::string name(net::FindHeader(request.headers, "Request-Id"));
       nodes_[i]->Call(kFatalPath, name + ".1");
       platform_.Run([&] {
-        held->Send(HostedPlatform::UsualAnswer(*servers_[i], request));
-        held.reset();
+        pending_reply->Send(HostedPlatform::UsualAnswer(*servers_[i], request));
+        pending_reply.reset();
       });
     });
   }
@@ -244,10 +247,10 @@
     REQUIRE(WaitUntil([&] { return AreAllReady(); }));
     for (size_t i = 0; i < kNodes; ++i)
       nodes_[i]->Announce(*servers_[i], "ready", 1);
-    const bool are_known = WaitUntil([&] { return KnowAllServers(); });
+    const bool is_complete = WaitUntil([&] { return IsMembershipComplete(); });
     INFO(Statuses());
-    INFO(Lines());
-    REQUIRE(are_known);
+    INFO(LogLines());
+    REQUIRE(is_complete);
   }
 
   bool AreAllReady() const {
@@ -257,7 +260,7 @@
 
   // Each node knows of all servers that they serve. (Which of them gets a
   // request is the node's to choose: an idle one keeps to its own.)
-  bool KnowAllServers() const {
+  bool IsMembershipComplete() const {
     return std::ranges::all_of(nodes_, [](const auto& node) {
       const json status = json::parse(node->Operate("GET", "/v1/status").body);
       const auto serving =
@@ -274,21 +277,21 @@
   }
 
   // Starts the servers anew that have ended; which these are.
-  std::vector<size_t> RestartEnded() {
-    std::vector<size_t> ended;
+  std::vector<size_t> RestartCrashed() {
+    std::vector<size_t> crashed;
     for (size_t i = 0; i < kNodes; ++i) {
-      bool has_ended = false;
-      platform_.Run([&] { has_ended = !servers_[i]->listener; });
-      if (!has_ended)
+      bool has_crashed = false;
+      platform_.Run([&] { has_crashed = !servers_[i]->listener; });
+      if (!has_crashed)
         continue;
-      platform_.Restart(*servers_[i], absl::StrCat("i-", i, "-", ++starts_));
-      ended.push_back(i);
+      platform_.Restart(*servers_[i], absl::StrCat("i-", i, "-", ++restarts_));
+      crashed.push_back(i);
     }
-    return ended;
+    return crashed;
   }
 
-  void ReviveEnded() {
-    for (const size_t i : RestartEnded())
+  void RestartAndAnnounceCrashed() {
+    for (const size_t i : RestartCrashed())
       nodes_[i]->Announce(*servers_[i], "ready", 1);
   }
 
@@ -296,110 +299,114 @@
   HostedPlatform platform_;
   std::array<HostedServer*, kNodes> servers_{};
   std::array<std::unique_ptr<HostedNode>, kNodes> nodes_;
-  std::vector<std::jthread> nested_;  // Calls that servers make.
-  size_t returns_ = 0;
-  size_t starts_ = 0;  // Of servers, anew.
-  int others_ = 0;
+  std::vector<std::jthread> nested_calls_;  // Calls that servers make.
+  size_t retries_ = 0;
+  size_t restarts_ = 0;  // Of servers, anew.
+  int other_requests_ = 0;
 };
 
 TEST_CASE("a request that ends each server that runs it") {
-  Scene scene;
-  for (int i = 0; i < kReturns && scene.Ends() < kServersToTell; ++i)
-    scene.Return();
-  REQUIRE(WaitUntil([&] { return scene.KnowEverywhere(kServersToTell); },
-                    kTimeToHear));
-  const int told = scene.Arrivals();
+  CrashScenario scenario;
+  for (int i = 0; i < kRetries && scenario.Crashes() < kCrashesToDetect; ++i)
+    scenario.Retry();
+  REQUIRE(
+      WaitUntil([&] { return scenario.IsListedEverywhere(kCrashesToDetect); },
+                kDisseminationLimit));
+  const int arrivals_at_detection = scenario.Arrivals();
 
   SECTION("reaches few servers once it has ended three") {
-    for (int i = 0; i < kReturns; ++i)
-      scene.Return();
-    CHECK(scene.Arrivals() - told <= kMoreAllowed);
-    CHECK(scene.Ends() <= kServersToTell + kMoreAllowed);
+    for (int i = 0; i < kRetries; ++i)
+      scenario.Retry();
+    CHECK(scenario.Arrivals() - arrivals_at_detection <= kMaxFurtherServers);
+    CHECK(scenario.Crashes() <= kCrashesToDetect + kMaxFurtherServers);
   }
 
   SECTION("is held for long with one end more") {
     REQUIRE(WaitUntil([&] {
-      scene.Return();
-      return scene.Ends() > kServersToTell;
+      scenario.Retry();
+      return scenario.Crashes() > kCrashesToDetect;
     }));
-    const bool is_held =
-        WaitUntil([&] { return scene.IsHeldForLongEverywhere(); });
-    INFO(scene.Statuses());
-    INFO(scene.Lines());
-    REQUIRE(is_held);
-    const int held = scene.Arrivals();
+    const bool is_quarantined =
+        WaitUntil([&] { return scenario.IsQuarantinedEverywhere(); });
+    INFO(scenario.Statuses());
+    INFO(scenario.LogLines());
+    REQUIRE(is_quarantined);
+    const int arrivals_in_quarantine = scenario.Arrivals();
 
     SECTION("which its callers are told at once, as it did not run") {
-      for (int i = 0; i < kReturns; ++i)
-        CHECK(scene.Return() == 503);
-      CHECK(scene.Arrivals() == held);
+      for (int i = 0; i < kRetries; ++i)
+        CHECK(scenario.Retry() == 503);
+      CHECK(scenario.Arrivals() == arrivals_in_quarantine);
     }
     SECTION("which operators are shown at any node, and may end") {
-      const json shown = scene.Held(2);
+      const json shown = scenario.ListedRequests(2);
       CHECK(shown[0].at("ends")[0].at("node").get<std::string>().size() == 2);
       const std::string fingerprint = shown[0].at("fingerprint");
-      CHECK(scene.Release(1, "nonsense") == 400);
-      CHECK(scene.Release(1, "0123456789abcdef") == 404);
-      CHECK(scene.Release(1, fingerprint) == 200);
-      CHECK(WaitUntil([&] { return scene.HoldsNowhere(); }));
-      scene.Return();
-      CHECK(scene.Arrivals() > held);
+      CHECK(scenario.Release(1, "nonsense") == 400);
+      CHECK(scenario.Release(1, "0123456789abcdef") == 404);
+      CHECK(scenario.Release(1, fingerprint) == 200);
+      CHECK(WaitUntil([&] { return scenario.IsListedNowhere(); }));
+      scenario.Retry();
+      CHECK(scenario.Arrivals() > arrivals_in_quarantine);
     }
     SECTION("also when all nodes were started anew") {
-      REQUIRE(WaitUntil([&] { return scene.StoredMarks() > kServersToTell; }));
-      scene.RestartNodes();
-      REQUIRE(WaitUntil([&] { return scene.IsHeldForLongEverywhere(); },
-                        kTimeToHear));
-      for (int i = 0; i < kReturns; ++i)
-        scene.Return();
-      CHECK(scene.Arrivals() == held);
+      REQUIRE(WaitUntil(
+          [&] { return scenario.StoredCrashes() > kCrashesToDetect; }));
+      scenario.RestartNodes();
+      REQUIRE(WaitUntil([&] { return scenario.IsQuarantinedEverywhere(); },
+                        kDisseminationLimit));
+      for (int i = 0; i < kRetries; ++i)
+        scenario.Retry();
+      CHECK(scenario.Arrivals() == arrivals_in_quarantine);
     }
   }
 
   SECTION("and others are served through every node") {
-    CHECK(scene.ServesOthers());
+    CHECK(scenario.ServesOtherRequests());
   }
 }
 
 TEST_CASE("a request that calls one that ends each server that runs it") {
-  Scene scene;
-  for (int i = 0; i < kReturns && scene.Ends() < kServersToTell; ++i)
-    scene.Return(kOuterPath);
-  REQUIRE(WaitUntil([&] { return scene.KnowEverywhere(kServersToTell); },
-                    kTimeToHear));
-  const int told = scene.Arrivals();
+  CrashScenario scenario;
+  for (int i = 0; i < kRetries && scenario.Crashes() < kCrashesToDetect; ++i)
+    scenario.Retry(kOuterPath);
+  REQUIRE(
+      WaitUntil([&] { return scenario.IsListedEverywhere(kCrashesToDetect); },
+                kDisseminationLimit));
+  const int arrivals_at_detection = scenario.Arrivals();
 
   SECTION("is served, and only the one below is held") {
     REQUIRE(WaitUntil([&] {
-      scene.Return(kOuterPath);
-      return scene.IsHeldForLongEverywhere();
+      scenario.Retry(kOuterPath);
+      return scenario.IsQuarantinedEverywhere();
     }));
     std::vector<int> statuses;
-    for (int i = 0; i < kReturns; ++i)
-      statuses.push_back(scene.Return(kOuterPath));
-    INFO(scene.Statuses());
-    INFO(scene.Lines());
-    CHECK(std::ranges::count(statuses, 200) == kReturns);
-    CHECK(scene.Arrivals() - told <= kMoreAllowed);
-    CHECK(scene.IsHeldForLongEverywhere());
+    for (int i = 0; i < kRetries; ++i)
+      statuses.push_back(scenario.Retry(kOuterPath));
+    INFO(scenario.Statuses());
+    INFO(scenario.LogLines());
+    CHECK(std::ranges::count(statuses, 200) == kRetries);
+    CHECK(scenario.Arrivals() - arrivals_at_detection <= kMaxFurtherServers);
+    CHECK(scenario.IsQuarantinedEverywhere());
   }
 }
 
 TEST_CASE("all nodes are started anew between the second and the third end") {
-  Scene scene;
-  scene.Return(kFatalWrite);
-  scene.Return(kFatalWrite);
-  REQUIRE(scene.Ends() == 2);
-  REQUIRE(WaitUntil([&] { return scene.StoredMarks() == 2; }));
-  scene.RestartNodes();
-  REQUIRE(WaitUntil([&] { return scene.KnowEverywhere(2); }, kTimeToHear));
+  CrashScenario scenario;
+  scenario.Retry(kFatalWrite);
+  scenario.Retry(kFatalWrite);
+  REQUIRE(scenario.Crashes() == 2);
+  REQUIRE(WaitUntil([&] { return scenario.StoredCrashes() == 2; }));
+  scenario.RestartNodes();
+  REQUIRE(WaitUntil([&] { return scenario.IsListedEverywhere(2); },
+                    kDisseminationLimit));
 
   SECTION("the request is in quarantine with the third") {
-    REQUIRE(WaitUntil([&] { return scene.Return(kFatalWrite) == 503; }));
+    REQUIRE(WaitUntil([&] { return scenario.Retry(kFatalWrite) == 503; }));
     // Two that were known before, and one. A return that comes while the news
     // of it are on their way may end one more; if nothing had been known, it
     // would have taken three.
-    CHECK(scene.Ends() < 2 + kServersToTell);
+    CHECK(scenario.Crashes() < 2 + kCrashesToDetect);
   }
 }
 
