--- a/tests/auto/failures/at_most_once_test.cc
+++ b/tests/auto/failures/at_most_once_test.cc
@@ -1,4 +1,4 @@
-// Promise: a request that may not be repeated runs at most once.
+// Guarantee: a request that may not be repeated runs at most once.
 #include <catch2/catch.hpp>
 #include <csignal>
 
@@ -7,21 +7,22 @@
 namespace chestnutport::test {
 namespace {
 
-// Longer than the deadline of the declaration.
+// Longer than the request deadline of the service declaration.
 constexpr std::chrono::milliseconds kPastDeadline(3500);
 
 // Mostly requests that may not be repeated.
 const LoadOptions kWrites{.work = std::chrono::milliseconds(20),
                           .repeatable_share = 20};
 
-// Callers of the node itself wait until it goes on, so time has to pass.
+// Callers of the node itself are blocked until it continues, so this waits for
+// a fixed time in place of a number of completed requests.
 void FreezeNode(const Vm& vm, std::chrono::milliseconds time) {
   vm.node->Signal(SIGSTOP);
   std::this_thread::sleep_for(time);
   vm.node->Signal(SIGCONT);
 }
 
-// Requests that end between two resets of connections.
+// Requests that complete between two connection resets.
 constexpr size_t kCallsBetweenResets = 10;
 
 TEST_CASE("a request that may not be repeated runs at most once") {
--- a/tests/auto/failures/confirmed_configuration_test.cc
+++ b/tests/auto/failures/confirmed_configuration_test.cc
@@ -1,4 +1,4 @@
-// Promise: a confirmed configuration is in force everywhere within seconds and
+// Guarantee: every node applies a confirmed configuration within seconds and
 // never reverts to an older one.
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -20,10 +20,11 @@
                                   "[servers]\nqueue = ", queue, "\n")}};
 }
 
-// By then each of the three readers has asked the store, also after a failure.
+// Store calls after which each of the three reader nodes has read the store at
+// least once, also after a failed read.
 constexpr int kStoreCalls = 12;
 
-// The revisions that a node says it put in force, in its order.
+// Returns the revisions that a node logged as in force, in log order.
 std::vector<uint64_t> RevisionsInForce(const Vm& vm) {
   std::vector<uint64_t> revisions;
   for (const auto& text :
@@ -38,8 +39,8 @@
          history.end();
 }
 
-// Asks every node for its revision again and again, until it is destroyed. The
-// log alone will not do: it drops repeated events.
+// Polls the revision of every node until it is stopped or destroyed. The log
+// alone is not sufficient, as it suppresses repeated events.
 class RevisionWatch {
  public:
   explicit RevisionWatch(const Fleet& fleet)
@@ -48,7 +49,8 @@
             PollAllNodes();
         }) {}
 
-  // Ends the watch; what each process of a node said, in order.
+  // Stops polling. Returns the revisions that each node process reported, in
+  // order and without successive duplicates.
   std::map<std::string, std::vector<uint64_t>> Stop() {
     thread_.request_stop();
     thread_.join();
@@ -99,7 +101,8 @@
           [&] { second = fleet.Confirm(small.b, Declaration(100 + round)); });
       first = fleet.Confirm(small.a, Declaration(200 + round));
       other.join();
-      // Zero: refused. The loser may also have planned on what the first did.
+      // Zero if refused. The second operator may also have planned on top of
+      // the revision that the first one confirmed; then both succeed.
       CHECK(first != second);
       last = std::max(first, second);
       REQUIRE(fleet.WaitAllReady(3, last));
@@ -136,7 +139,7 @@
     const uint64_t confirmed = fleet.Confirm(small.a, Declaration(1));
     CHECK((confirmed == 0 || confirmed == last + 1));
     fleet.CommandStore(R"({"mode": "up"})");
-    ++last;  // The store had taken it.
+    ++last;  // The store committed it before the answer was lost.
     REQUIRE(fleet.WaitAllReady(3, last));
     SECTION("and the next change goes on from it") {
       confirm(small.b, 2);
--- a/tests/auto/failures/cut_answer_test.cc
+++ b/tests/auto/failures/cut_answer_test.cc
@@ -1,4 +1,5 @@
-// A server's answer that is cut is seen to be cut, or is told as unknown.
+// Guarantee: a truncated answer of a server is never passed on as a complete
+// one. The caller sees the truncation or gets the outcome "unknown".
 #include <catch2/catch.hpp>
 
 #include "support/small_fleet.h"
@@ -6,10 +7,10 @@
 namespace chestnutport::test {
 namespace {
 
-// Answers larger than a socket's buffer takes at once.
+// Answers larger than a socket buffer, so that one takes several writes.
 const LoadOptions kLarge{.callers = 48, .answer_bytes = 300000};
 
-// Requests that end between two resets of connections.
+// Requests that complete between two connection resets.
 constexpr size_t kCallsBetweenResets = 10;
 
 TEST_CASE("a server's own answer is cut") {
--- a/tests/auto/failures/leaving_server_test.cc
+++ b/tests/auto/failures/leaving_server_test.cc
@@ -1,4 +1,4 @@
-// Promise: a server that leaves gets no new work within a few seconds.
+// Guarantee: a draining server gets no new requests after a few seconds.
 #include <catch2/catch.hpp>
 #include <csignal>
 
@@ -17,7 +17,7 @@
   const auto is_leaving_everywhere = [&] {
     return WaitUntil([&] { return fleet.IsLeavingEverywhere(small.b); });
   };
-  // Began after the drain was known everywhere: must stay zero.
+  // Requests that the server started once `drain` had returned. Must be zero.
   size_t started_after_drain = 0;
 
   const auto drain_and_count = [&](const std::function<void()>& drain) {
--- a/tests/auto/failures/measuring_budget_test.cc
+++ b/tests/auto/failures/measuring_budget_test.cc
@@ -1,5 +1,5 @@
-// Promise: measuring never costs more than its budget, also in a rush and in a
-// storm of restarts.
+// Guarantee: health probes never exceed their time budget, also under load
+// peaks and repeated restarts of a server.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -10,18 +10,18 @@
 namespace chestnutport::test {
 namespace {
 
-// What the declaration allows when it says nothing, of a server's time.
+// Default probe budget of a declaration, as a share of the server's time.
 constexpr double kBudget = 0.005;
 constexpr std::chrono::milliseconds kProbeCost(6);
-// Enough to see whether they come too often.
+// Probes to wait for before the probe rate is compared with the budget.
 constexpr int kMinProbes = 3;
 
 int ProbeCount(const Fleet& fleet, const Vm& vm) {
   return fleet.CommandServer(vm, "{}").value("probes", 0);
 }
 
-// The server's time for probes since its start, against what its budget gave
-// it until now. One probe may always be under way.
+// Returns whether the server's probe time since its start is within the budget
+// accrued so far. One probe is not counted, as it may be in flight.
 bool KeepsBudget(const Fleet& fleet,
                  const Vm& vm,
                  std::chrono::steady_clock::time_point server_start) {
@@ -31,7 +31,8 @@
   return (probes - 1) * kProbeCost <= allowed;
 }
 
-// A server without requests is probed every few seconds.
+// Waits for kMinProbes further probes. An idle server is probed every few
+// seconds.
 bool WaitForProbes(const Fleet& fleet, const Vm& vm) {
   const int before = ProbeCount(fleet, vm);
   return WaitUntil([&] { return ProbeCount(fleet, vm) >= before + kMinProbes; },
--- a/tests/auto/failures/not_run_test.cc
+++ b/tests/auto/failures/not_run_test.cc
@@ -1,4 +1,4 @@
-// Promise: when a caller is told "not run", the request truly did not run.
+// Guarantee: no server ran a request whose caller got the outcome "not-run".
 #include <catch2/catch.hpp>
 #include <csignal>
 
@@ -7,16 +7,16 @@
 namespace chestnutport::test {
 namespace {
 
-// Longer than the deadline of the declaration.
+// Longer than the request deadline of the service declaration.
 constexpr std::chrono::milliseconds kPastDeadline(3500);
 
 const LoadOptions kMixed{.work = std::chrono::milliseconds(20)};
-// More than three servers of 12 slots and 24 places take.
+// More callers than three servers of 12 slots and 24 queue places can admit.
 const LoadOptions kOverload{.callers = 200,
                             .work = std::chrono::milliseconds(50),
                             .pause = std::chrono::milliseconds(0)};
 
-// Requests that end between two resets of connections.
+// Requests that complete between two connection resets.
 constexpr size_t kCallsBetweenResets = 10;
 
 TEST_CASE("a request said not to have run did not run") {
--- a/tests/auto/failures/own_answer_test.cc
+++ b/tests/auto/failures/own_answer_test.cc
@@ -1,5 +1,5 @@
-// Promise: every caller gets the whole answer to its own request, also when
-// answers come late or out of order.
+// Guarantee: every caller gets the complete answer to its own request, also
+// when answers arrive late or out of order.
 #include <catch2/catch.hpp>
 #include <csignal>
 
@@ -8,10 +8,10 @@
 namespace chestnutport::test {
 namespace {
 
-// Answers larger than a socket's buffer takes at once.
+// Answers larger than a socket buffer, so that one takes several writes.
 const LoadOptions kLarge{.callers = 48, .answer_bytes = 300000};
 const LoadOptions kPlain{.callers = 48};
-// Shorter than the deadline of the declaration.
+// Shorter than the request deadline of the service declaration.
 constexpr std::chrono::milliseconds kShortFreeze(1000);
 
 TEST_CASE("every caller gets the whole answer to its own request") {
--- a/tests/auto/failures/planned_stop_test.cc
+++ b/tests/auto/failures/planned_stop_test.cc
@@ -1,4 +1,4 @@
-// Promise: a planned stop of a server cuts no request in flight.
+// Guarantee: a planned stop of a server interrupts no request in flight.
 #include <catch2/catch.hpp>
 #include <csignal>
 #include <map>
@@ -13,7 +13,7 @@
 namespace chestnutport::test {
 namespace {
 
-// Long enough that some are in flight at any stop.
+// Requests long enough that some are in flight at every stop.
 const LoadOptions kSlow{.callers = 24, .work = std::chrono::milliseconds(300)};
 
 TEST_CASE("a planned stop cuts no request in flight") {
@@ -86,7 +86,8 @@
 
   for (const auto& vm : fleet.vms()) {
     REQUIRE(fleet.Replace(*vm, {&dossie, &laudo}));
-    // Callers come at once; the next VM only when the fleet is whole again.
+    // Callers use the replaced VM at once. The next VM is replaced only after
+    // every node has registered all servers again.
     REQUIRE(fleet.WaitAllReady(servers, revision));
   }
   for (Load* load : {&dossie, &laudo}) {
--- a/tests/auto/failures/request_ends_servers_test.cc
+++ b/tests/auto/failures/request_ends_servers_test.cc
@@ -1,23 +1,15 @@
-// What users saw: for most of a minute nearly no request of a service was
-// served. All its servers ended within 1.3 s, came back, and ended again, 28
-// ends in 70 s.
+// Guards against a request that crashes every server that runs it. The node
+// retries such a request on a second and a third server, as it may be repeated,
+// and the caller sends it again with another id through other nodes. If crashes
+// are attributed only to the call at hand, each such call looks like any other
+// and crashes one to three more servers. In one incident this took down all
+// servers of a service within 1.3 s and caused 28 crashes in 70 s. Load was not
+// the cause: each crash followed the arrival of the request by its processing
+// time, other servers on the same VMs kept answering, and four servers carried
+// the whole load for ten seconds while the request was absent.
 //
-// Order of events: a caller asks for something that makes the server end that
-// runs it. Its node sends the request, which may be repeated, to a second
-// server, then to a third. The caller is answered 502 and returns, under
-// another name, through another node, for as long as it wants; each time the
-// request is one like any other, and ends one to three servers more.
-//
-// Cause: what an attempt did to its server was known to nobody but the call
-// that made it. Retries were judged by the call, callers that return by
-// nothing.
-//
-// Evidence: the runs of one request, as its node wrote them, were lost 79 and
-// 109 ms after they were sent, at two servers, and both servers ended in just
-// these moments; each further end came as long after a return as the work
-// takes. The other servers of the same VMs, of another service, answered all
-// the time, and four servers bore the whole load for ten seconds in which the
-// request did not come, so it was not load.
+// The nodes must therefore share crash observations by request, and quarantine
+// the request for all callers and nodes.
 #include <array>
 #include <catch2/catch.hpp>
 #include <filesystem>
@@ -42,17 +34,17 @@
 using nlohmann::json;
 
 constexpr size_t kNodes = 4;
-constexpr int kSlots = 12;  // As servers announce.
-// The aim: a request that ended three servers is given to three more at most,
-// once all nodes have heard of the third end, for which they have this time.
+constexpr int kSlots = 12;  // As announced by the servers.
+// A request that crashed three servers may reach at most three more once every
+// node lists the third crash, which must happen within kDisseminationLimit.
 constexpr int kCrashesToDetect = 3;
 constexpr int kMaxFurtherServers = 3;
 constexpr std::chrono::seconds kDisseminationLimit(3);
 constexpr int kRetries = 20;
 constexpr char kFatalPath[] = "/p/fatal";
-// The same of a request that is sent to one server only.
+// As kFatalPath, but not repeatable: the node sends it to one server only.
 constexpr char kFatalWrite[] = "/w/fatal";
-// A request that is innocent itself, but calls the one that ends servers.
+// A harmless request whose server in turn calls kFatalPath.
 constexpr char kOuterPath[] = "/p/outer";
 
 constexpr char kDocument[] =
@@ -67,8 +59,8 @@
   return request.target == kFatalPath || request.target == kFatalWrite;
 }
 
-// Nodes with a server each, and callers that send a request again and again
-// that ends the server which runs it.
+// Nodes with one server each, and a caller that repeatedly sends a request that
+// crashes the server that runs it.
 class CrashScenario {
  public:
   CrashScenario()
@@ -106,7 +98,8 @@
   CrashScenario(const CrashScenario&) = delete;
   CrashScenario& operator=(const CrashScenario&) = delete;
 
-  // All nodes end at once and are started anew; the servers go on.
+  // Stops all nodes, then starts them again. Running servers are kept; crashed
+  // ones are restarted.
   void RestartNodes() {
     for (auto& node : nodes_)
       node.reset();
@@ -114,12 +107,12 @@
     StartNodes();
   }
 
-  // What the operators of a node are shown: the requests that are held.
+  // Returns the requests listed by the quarantine API of a node.
   json ListedRequests(size_t node) {
     return json::parse(nodes_[node]->Operate("GET", "/v1/quarantine").body)
         .at("requests");
   }
-  // Whether every node lists a request with which so many servers ended.
+  // Returns whether every node lists a request with at least `crashes` crashes.
   bool IsListedEverywhere(size_t crashes) {
     for (size_t node = 0; node < kNodes; ++node) {
       const json listed = ListedRequests(node);
@@ -132,7 +125,8 @@
     }
     return true;
   }
-  // Whether every node knows of one end more than the first hold takes.
+  // Returns whether every node lists exactly one request, as quarantined with
+  // more crashes than kCrashesToDetect.
   bool IsQuarantinedEverywhere() {
     for (size_t node = 0; node < kNodes; ++node) {
       const json listed = ListedRequests(node);
@@ -155,7 +149,8 @@
     return nodes_[node]->Operate("POST", "/v1/release", body.dump()).status;
   }
 
-  // Ends that the platform's store holds against the request.
+  // Returns the number of crashes recorded for the request in the platform's
+  // store.
   int StoredCrashes() {
     const auto stored = quarantine::DecodeEvidence(
         platform_.EntryOf("/quarantine"), base::Clock::now());
@@ -164,8 +159,8 @@
     return static_cast<int>(stored->front().crashes.size());
   }
 
-  // The caller sends the request once more, through the next node; servers that
-  // ended by it come back. The status that it gets.
+  // Sends the request again as the caller does, with a new id and through the
+  // next node, then restarts the servers that it crashed. Returns the status.
   int Retry(const std::string& path = kFatalPath) {
     const size_t node = retries_++ % kNodes;
     const int status =
@@ -174,7 +169,7 @@
     return status;
   }
 
-  // How often servers got the request, and ended by it.
+  // Number of times that the request reached a server, and number of crashes.
   int Arrivals() {
     int arrivals = 0;
     platform_.Run([&] {
@@ -192,7 +187,7 @@
     return ends;
   }
 
-  // What operators are shown of each node.
+  // Returns the status of each node from the operators' API, one per line.
   std::string Statuses() const {
     std::string text;
     for (const auto& node : nodes_)
@@ -200,7 +195,7 @@
     return text;
   }
 
-  // What all nodes wrote, in the order of time.
+  // Returns the log lines of all nodes, sorted by time.
   std::string LogLines() {
     std::vector<std::string> lines;
     for (const auto& node : nodes_) {
@@ -212,7 +207,7 @@
     return absl::StrJoin(lines, "\n");
   }
 
-  // Whether other requests are served through every node.
+  // Returns whether every node serves requests that are not fatal.
   bool ServesOtherRequests() {
     return WaitUntil([&] {
       return std::ranges::all_of(nodes_, [&](const auto& node) {
@@ -223,8 +218,8 @@
   }
 
  private:
-  // The server of node `i` answers the request when its own call through its
-  // node has ended, whatever came of it. Runs on the platform's thread.
+  // Calls kFatalPath through node `i`, then lets the server of that node answer
+  // `request`, whatever the result of the call. Runs on the platform's thread.
   void CallFrom(size_t i, const net::HttpRequest& request, net::Reply reply) {
     auto pending_reply = std::make_shared<net::Reply>(std::move(reply));
     nested_calls_.emplace_back([this, i, request,
@@ -258,8 +253,8 @@
         nodes_, [](const auto& node) { return node->IsReady(); });
   }
 
-  // Each node knows of all servers that they serve. (Which of them gets a
-  // request is the node's to choose: an idle one keeps to its own.)
+  // Returns whether every node lists all servers with their slots. Test
+  // requests cannot show this, as an idle node prefers its local server.
   bool IsMembershipComplete() const {
     return std::ranges::all_of(nodes_, [](const auto& node) {
       const json status = json::parse(node->Operate("GET", "/v1/status").body);
@@ -276,7 +271,7 @@
     return static_cast<int>(std::ranges::count_if(server.requests, IsFatal));
   }
 
-  // Starts the servers anew that have ended; which these are.
+  // Restarts the crashed servers and returns their indices.
   std::vector<size_t> RestartCrashed() {
     std::vector<size_t> crashed;
     for (size_t i = 0; i < kNodes; ++i) {
@@ -299,9 +294,9 @@
   HostedPlatform platform_;
   std::array<HostedServer*, kNodes> servers_{};
   std::array<std::unique_ptr<HostedNode>, kNodes> nodes_;
-  std::vector<std::jthread> nested_calls_;  // Calls that servers make.
+  std::vector<std::jthread> nested_calls_;  // Calls made by servers.
   size_t retries_ = 0;
-  size_t restarts_ = 0;  // Of servers, anew.
+  size_t restarts_ = 0;  // Of servers.
   int other_requests_ = 0;
 };
 
@@ -403,9 +398,9 @@
 
   SECTION("the request is in quarantine with the third") {
     REQUIRE(WaitUntil([&] { return scenario.Retry(kFatalWrite) == 503; }));
-    // Two that were known before, and one. A return that comes while the news
-    // of it are on their way may end one more; if nothing had been known, it
-    // would have taken three.
+    // The two crashes from before the restart count, so a third one suffices.
+    // A retry during its dissemination may cause one more. Without the earlier
+    // evidence three further crashes would be needed.
     CHECK(scenario.Crashes() < 2 + kCrashesToDetect);
   }
 }
--- a/tests/auto/path/whole_path_test.cc
+++ b/tests/auto/path/whole_path_test.cc
@@ -1,4 +1,5 @@
-// The whole path of a request, through separate processes.
+// The path of a request from end to end: caller, nodes and servers as separate
+// processes.
 #include <catch2/catch.hpp>
 #include <csignal>
 #include <nlohmann/json.hpp>
