--- a/tests/auto/failures/at_most_once_test.cc
+++ b/tests/auto/failures/at_most_once_test.cc
@@ -31,42 +31,42 @@
   Audit audit;
 
   SECTION("when a server is killed and started anew, twice") {
-    audit = small.RunThrough(kWrites, [&] {
+    audit = small.RunWithFault(kWrites, [&] {
       fleet.StartServer(small.b);
       fleet.StartServer(small.b);
     });
   }
   SECTION("when a node is killed and started anew") {
-    audit = small.RunThrough(kWrites, [&] { fleet.StartNode(small.b); });
+    audit = small.RunWithFault(kWrites, [&] { fleet.StartNode(small.b); });
   }
   SECTION("when a node is frozen past every deadline and comes back") {
-    audit =
-        small.RunThrough(kWrites, [&] { FreezeNode(small.b, kPastDeadline); });
+    audit = small.RunWithFault(kWrites,
+                               [&] { FreezeNode(small.b, kPastDeadline); });
   }
   SECTION("when a server is frozen past every deadline and comes back") {
-    audit = small.RunThrough(kWrites, [&](Load& callers) {
+    audit = small.RunWithFault(kWrites, [&](Load& callers) {
       small.b.server->Signal(SIGSTOP);
-      CHECK(callers.WaitForMoreAndUnderWay(small.calls));
+      CHECK(callers.WaitForMoreAndPending(small.calls));
       small.b.server->Signal(SIGCONT);
     });
   }
   SECTION("when a server sheds") {
-    audit = small.RunThrough(
+    audit = small.RunWithFault(
         kWrites, [&] { fleet.CommandServer(small.b, R"({"shed": true})"); });
   }
   SECTION("when open connections between nodes go silent") {
-    audit = small.RunThrough(
+    audit = small.RunWithFault(
         kWrites, [&] { small.b.peer_relay->SilenceOpenConnections(); });
   }
   SECTION("when open connections to a server go silent, twice") {
-    audit = small.RunThrough(kWrites, [&](Load& callers) {
+    audit = small.RunWithFault(kWrites, [&](Load& callers) {
       small.b.server_relay->SilenceOpenConnections();
-      CHECK(callers.WaitForMoreAndUnderWay(small.calls));
+      CHECK(callers.WaitForMoreAndPending(small.calls));
       small.b.server_relay->SilenceOpenConnections();
     });
   }
   SECTION("when connections between nodes are reset again and again") {
-    audit = small.RunThrough(kWrites, [&](Load& callers) {
+    audit = small.RunWithFault(kWrites, [&](Load& callers) {
       for (int i = 0; i < 20; ++i) {
         small.b.peer_relay->ResetOpenConnections();
         small.c.peer_relay->ResetOpenConnections();
@@ -75,27 +75,27 @@
     });
   }
   SECTION("when the answers of a node are lost") {
-    audit = small.RunThrough(kWrites, [&](Load& callers) {
-      small.b.peer_relay->LoseAnswers(true);
-      CHECK(callers.WaitForMoreAndUnderWay(small.calls));
-      small.b.peer_relay->LoseAnswers(false);
+    audit = small.RunWithFault(kWrites, [&](Load& callers) {
+      small.b.peer_relay->DropAnswers(true);
+      CHECK(callers.WaitForMoreAndPending(small.calls));
+      small.b.peer_relay->DropAnswers(false);
     });
   }
   SECTION("when requests arrive late, behind their cancellation") {
-    audit = small.RunThrough(kWrites, [&](Load& callers) {
+    audit = small.RunWithFault(kWrites, [&](Load& callers) {
       small.b.peer_relay->SetDelay(std::chrono::seconds(2));
-      CHECK(callers.WaitForMoreAndUnderWay(small.calls));
+      CHECK(callers.WaitForMoreAndPending(small.calls));
       small.b.peer_relay->SetDelay(std::chrono::milliseconds(0));
     });
   }
   SECTION("when a node is frozen while another one's connections go silent") {
-    audit = small.RunThrough(kWrites, [&] {
+    audit = small.RunWithFault(kWrites, [&] {
       small.c.peer_relay->SilenceOpenConnections();
       FreezeNode(small.b, kPastDeadline);
     });
   }
   SECTION("when the store is down and a server is killed") {
-    audit = small.RunThrough(kWrites, [&] {
+    audit = small.RunWithFault(kWrites, [&] {
       fleet.CommandStore(R"({"mode": "down"})");
       fleet.StartServer(small.b);
     });
@@ -109,7 +109,7 @@
 
 TEST_CASE("the audit sees a server that runs requests twice") {
   SmallFleet small({"--run_twice"});
-  const Audit audit = small.RunThrough(kWrites, [] {});
+  const Audit audit = small.RunWithFault(kWrites, [] {});
   CHECK(audit.ran_twice > small.calls);
 }
 
--- a/tests/auto/failures/confirmed_configuration_test.cc
+++ b/tests/auto/failures/confirmed_configuration_test.cc
@@ -28,7 +28,7 @@
 std::vector<uint64_t> RevisionsInForce(const Vm& vm) {
   std::vector<uint64_t> revisions;
   for (const auto& text :
-       vm.node->FieldsOf("name=configuration-in-force", "revision")) {
+       vm.node->FieldValues("name=configuration-in-force", "revision")) {
     revisions.push_back(std::stoull(text));
   }
   return revisions;
--- a/tests/auto/failures/cut_answer_test.cc
+++ b/tests/auto/failures/cut_answer_test.cc
@@ -19,7 +19,7 @@
   Audit audit;
 
   SECTION("when connections are reset in the middle of answers") {
-    audit = small.RunThrough(kLarge, [&](Load& callers) {
+    audit = small.RunWithFault(kLarge, [&](Load& callers) {
       for (int i = 0; i < 20; ++i) {
         small.b.server_relay->ResetOpenConnections();
         small.c.peer_relay->ResetOpenConnections();
@@ -28,7 +28,7 @@
     });
   }
   SECTION("when a server is killed in the middle of answers") {
-    audit = small.RunThrough(kLarge, [&] { fleet.StartServer(small.b); });
+    audit = small.RunWithFault(kLarge, [&] { fleet.StartServer(small.b); });
   }
   INFO(audit.ToString());
   CHECK(audit.answered > 0);
--- a/tests/auto/failures/leaving_server_test.cc
+++ b/tests/auto/failures/leaving_server_test.cc
@@ -21,7 +21,7 @@
   size_t started_after_drain = 0;
 
   const auto drain_and_count = [&](const std::function<void()>& drain) {
-    return small.RunThrough(kMixed, [&] {
+    return small.RunWithFault(kMixed, [&] {
       drain();
       const size_t before = CountStarted(small.b.ledger);
       Load later_load({.prefix = "after", .callers = 24},
@@ -41,8 +41,8 @@
   SECTION("when the server itself says so") {
     drain_and_count([&] {
       const auto response =
-          Ask(small.b.server_side_address,
-              {.method = "POST", .target = "/v1/server/drain"});
+          SendAndWait(small.b.announcement_address,
+                      {.method = "POST", .target = "/v1/server/drain"});
       REQUIRE(response.answer.status == 200);
       REQUIRE(is_leaving_everywhere());
     });
@@ -59,7 +59,7 @@
       fleet.CommandServer(small.b, R"({"draining": true})");
       REQUIRE(is_leaving_everywhere());
       fleet.StartNode(small.b);
-      REQUIRE(WaitUntil([&] { return fleet.HasServer(small.b); }));
+      REQUIRE(WaitUntil([&] { return fleet.IsServerRegistered(small.b); }));
     });
   }
   SECTION("when the store is down, so that its own gate alone refuses") {
@@ -83,7 +83,7 @@
 TEST_CASE("the count sees work on a server that does not leave") {
   SmallFleet small;
   const size_t before = CountStarted(small.b.ledger);
-  small.RunThrough(kMixed, [] {});
+  small.RunWithFault(kMixed, [] {});
   CHECK(CountStarted(small.b.ledger) > before);
 }
 
--- a/tests/auto/failures/measuring_budget_test.cc
+++ b/tests/auto/failures/measuring_budget_test.cc
@@ -51,32 +51,32 @@
   }
   SECTION("in a rush of callers") {
     small.calls = 3000;
-    small.RunThrough({.callers = 200}, [] {});
+    small.RunWithFault({.callers = 200}, [] {});
   }
   SECTION("when a server fails every request") {
     fleet.CommandServer(small.b, R"({"fail": true})");
-    small.RunThrough({}, [] {});
+    small.RunWithFault({}, [] {});
   }
   SECTION("when a health check says ill of a server that serves well") {
     fleet.CommandServer(small.b, R"({"health": "ill"})");
     REQUIRE(WaitForProbes(fleet, small.b));
     CHECK(KeepsBudget(fleet, small.b, start));
-    const Audit audit = small.RunThrough({}, [] {});
+    const Audit audit = small.RunWithFault({}, [] {});
     CHECK(audit.answered + audit.not_run == audit.calls);
   }
   SECTION("when a health check is never answered by one that serves well") {
     fleet.CommandServer(small.b, R"({"health": "silent"})");
     REQUIRE(WaitForProbes(fleet, small.b));
     CHECK(KeepsBudget(fleet, small.b, start));
-    const Audit audit = small.RunThrough({}, [] {});
+    const Audit audit = small.RunWithFault({}, [] {});
     CHECK(audit.answered + audit.not_run == audit.calls);
   }
   SECTION("when a server is silent to its node") {
-    small.RunThrough({},
-                     [&] { small.b.server_relay->SilenceOpenConnections(); });
+    small.RunWithFault({},
+                       [&] { small.b.server_relay->SilenceOpenConnections(); });
   }
   SECTION("in a storm of restarts") {
-    small.RunThrough({}, [&] {
+    small.RunWithFault({}, [&] {
       for (int i = 0; i < 10; ++i) {
         start = std::chrono::steady_clock::now();
         fleet.StartServer(small.b);
@@ -90,7 +90,8 @@
 
   SECTION("and one who asks without a budget is seen") {
     for (int i = 0; i < 200; ++i)
-      Ask(small.a.server_address, {.method = "GET", .target = "/health"});
+      SendAndWait(small.a.server_address,
+                  {.method = "GET", .target = "/health"});
     CHECK_FALSE(KeepsBudget(fleet, small.a, start));
   }
 }
--- a/tests/auto/failures/not_run_test.cc
+++ b/tests/auto/failures/not_run_test.cc
@@ -28,12 +28,12 @@
   SECTION("when all servers are overloaded") {
     small.calls = 2000;
     must_refuse = true;
-    audit = small.RunThrough(kOverload, [] {});
+    audit = small.RunWithFault(kOverload, [] {});
   }
   SECTION("when servers are overloaded and nodes' connections are reset") {
     small.calls = 2000;
     must_refuse = true;
-    audit = small.RunThrough(kOverload, [&](Load& callers) {
+    audit = small.RunWithFault(kOverload, [&](Load& callers) {
       for (int i = 0; i < 20; ++i) {
         small.b.peer_relay->ResetOpenConnections();
         CHECK(callers.WaitForMore(kCallsBetweenResets));
@@ -42,63 +42,63 @@
   }
   SECTION("when every server is drained") {
     must_refuse = true;
-    audit = small.RunThrough(kMixed, [&] {
+    audit = small.RunWithFault(kMixed, [&] {
       for (const auto& vm : fleet.vms())
         fleet.Operate(*vm, "POST", "/v1/drain", "");
     });
   }
   SECTION("when a server sheds") {
-    audit = small.RunThrough(
+    audit = small.RunWithFault(
         kMixed, [&] { fleet.CommandServer(small.b, R"({"shed": true})"); });
   }
   SECTION("when a server is killed") {
-    audit = small.RunThrough(kMixed, [&] { small.b.server.reset(); });
+    audit = small.RunWithFault(kMixed, [&] { small.b.server.reset(); });
   }
   SECTION("when a node is killed") {
-    audit = small.RunThrough(kMixed, [&] { small.b.node.reset(); });
+    audit = small.RunWithFault(kMixed, [&] { small.b.node.reset(); });
   }
   SECTION("when a node is frozen with work in its queue, and comes back") {
     small.calls = 2000;
     must_refuse = true;
-    audit = small.RunThrough(kOverload, [&] {
+    audit = small.RunWithFault(kOverload, [&] {
       small.b.node->Signal(SIGSTOP);
       std::this_thread::sleep_for(std::chrono::seconds(4));
       small.b.node->Signal(SIGCONT);
     });
   }
   SECTION("when a server is frozen past every deadline and comes back") {
-    audit = small.RunThrough(kMixed, [&](Load& callers) {
+    audit = small.RunWithFault(kMixed, [&](Load& callers) {
       small.b.server->Signal(SIGSTOP);
-      CHECK(callers.WaitForMoreAndUnderWay(small.calls));
+      CHECK(callers.WaitForMoreAndPending(small.calls));
       small.b.server->Signal(SIGCONT);
     });
   }
   SECTION("when open connections between nodes go silent") {
-    audit = small.RunThrough(
+    audit = small.RunWithFault(
         kMixed, [&] { small.b.peer_relay->SilenceOpenConnections(); });
   }
   SECTION("when requests arrive late, behind their cancellation") {
-    audit = small.RunThrough(kMixed, [&](Load& callers) {
+    audit = small.RunWithFault(kMixed, [&](Load& callers) {
       small.b.peer_relay->SetDelay(std::chrono::seconds(2));
-      CHECK(callers.WaitForMoreAndUnderWay(small.calls));
+      CHECK(callers.WaitForMoreAndPending(small.calls));
       small.b.peer_relay->SetDelay(std::chrono::milliseconds(0));
     });
   }
   SECTION("when the store is down and a server is killed") {
-    audit = small.RunThrough(kMixed, [&] {
+    audit = small.RunWithFault(kMixed, [&] {
       fleet.CommandStore(R"({"mode": "down"})");
       small.b.server.reset();
     });
   }
   SECTION("when the answers of a server are lost") {
-    audit = small.RunThrough(kMixed, [&](Load& callers) {
-      small.b.server_relay->LoseAnswers(true);
+    audit = small.RunWithFault(kMixed, [&](Load& callers) {
+      small.b.server_relay->DropAnswers(true);
       CHECK(callers.WaitForMore(small.calls));
-      small.b.server_relay->LoseAnswers(false);
+      small.b.server_relay->DropAnswers(false);
     });
   }
   SECTION("when connections to a server are reset while it works") {
-    audit = small.RunThrough(kMixed, [&](Load& callers) {
+    audit = small.RunWithFault(kMixed, [&](Load& callers) {
       for (int i = 0; i < 20; ++i) {
         small.b.server_relay->ResetOpenConnections();
         CHECK(callers.WaitForMore(kCallsBetweenResets));
--- a/tests/auto/failures/own_answer_test.cc
+++ b/tests/auto/failures/own_answer_test.cc
@@ -20,11 +20,11 @@
   Audit audit;
 
   SECTION("when answers are large") {
-    audit = small.RunThrough(kLarge, [] {});
+    audit = small.RunWithFault(kLarge, [] {});
     CHECK(audit.answered == audit.calls);
   }
   SECTION("when a server straggles, so that answers come out of order") {
-    audit = small.RunThrough(kPlain, [&] {
+    audit = small.RunWithFault(kPlain, [&] {
       fleet.CommandServer(small.b, R"({"straggle_ms": 700})");
     });
     INFO(audit.ToString());
@@ -32,24 +32,24 @@
     CHECK(audit.answered + audit.not_run == audit.calls);
   }
   SECTION("when a server sheds") {
-    audit = small.RunThrough(
+    audit = small.RunWithFault(
         kPlain, [&] { fleet.CommandServer(small.b, R"({"shed": true})"); });
     INFO(audit.ToString());
     CHECK(audit.answered + audit.not_run == audit.calls);
   }
   SECTION("when a node is frozen for a while, and comes back") {
-    audit = small.RunThrough(kPlain, [&] {
+    audit = small.RunWithFault(kPlain, [&] {
       small.b.node->Signal(SIGSTOP);
       std::this_thread::sleep_for(kShortFreeze);
       small.b.node->Signal(SIGCONT);
     });
   }
   SECTION("when open connections between nodes go silent") {
-    audit = small.RunThrough(
+    audit = small.RunWithFault(
         kPlain, [&] { small.b.peer_relay->SilenceOpenConnections(); });
   }
   SECTION("when a server straggles while the path to another one is slow") {
-    audit = small.RunThrough(kPlain, [&](Load& callers) {
+    audit = small.RunWithFault(kPlain, [&](Load& callers) {
       fleet.CommandServer(small.b, R"({"straggle_ms": 700})");
       small.c.peer_relay->SetDelay(std::chrono::milliseconds(300));
       CHECK(callers.WaitForMore(small.calls));
@@ -57,22 +57,22 @@
     });
   }
   SECTION("when the store is down and a server straggles") {
-    audit = small.RunThrough(kPlain, [&] {
+    audit = small.RunWithFault(kPlain, [&] {
       fleet.CommandStore(R"({"mode": "down"})");
       fleet.CommandServer(small.b, R"({"straggle_ms": 700})");
     });
   }
   SECTION("when the path to a node is slow for a while") {
-    audit = small.RunThrough(kPlain, [&](Load& callers) {
+    audit = small.RunWithFault(kPlain, [&](Load& callers) {
       small.b.peer_relay->SetDelay(std::chrono::milliseconds(300));
       CHECK(callers.WaitForMore(small.calls));
       small.b.peer_relay->SetDelay(std::chrono::milliseconds(0));
     });
   }
   SECTION("when answers come after their callers were given up") {
-    audit = small.RunThrough(kPlain, [&](Load& callers) {
+    audit = small.RunWithFault(kPlain, [&](Load& callers) {
       fleet.CommandServer(small.b, R"({"straggle_ms": 3200})");
-      CHECK(callers.WaitForMoreAndUnderWay(small.calls));
+      CHECK(callers.WaitForMoreAndPending(small.calls));
       fleet.CommandServer(small.b, R"({"straggle_ms": 0})");
     });
   }
@@ -86,7 +86,7 @@
 
 TEST_CASE("the audit sees a server that mixes up its answers") {
   SmallFleet small({"--mix_up"});
-  const Audit audit = small.RunThrough(kPlain, [] {});
+  const Audit audit = small.RunWithFault(kPlain, [] {});
   CHECK(audit.wrong_answer > 0);
 }
 
--- a/tests/auto/failures/planned_stop_test.cc
+++ b/tests/auto/failures/planned_stop_test.cc
@@ -102,7 +102,7 @@
 TEST_CASE("the audit sees a stop that was not planned") {
   SmallFleet small;
   small.calls = 100;
-  const Audit audit = small.RunThrough(kSlow, [&] {
+  const Audit audit = small.RunWithFault(kSlow, [&] {
     small.b.server.reset();
     small.c.node.reset();
   });
--- a/tests/auto/node/server_end_test.cc
+++ b/tests/auto/node/server_end_test.cc
@@ -22,7 +22,7 @@
   const base::SocketAddress address = server->address();
   net::TransferResult result;
   std::thread caller(
-      [&] { result = Ask(address, {.method = "GET", .target = "/"}); });
+      [&] { result = SendAndWait(address, {.method = "GET", .target = "/"}); });
   loop.Run();
 
   SECTION("the connection is closed, and sending the reply has no effect") {
--- a/tests/auto/telemetry/operator_metrics_test.cc
+++ b/tests/auto/telemetry/operator_metrics_test.cc
@@ -97,9 +97,9 @@
   }
 
   SECTION("who holds no token sees nothing") {
-    const auto answer =
-        Ask(vm.operator_address, {.method = "GET", .target = "/v1/metrics"})
-            .answer;
+    const auto answer = SendAndWait(vm.operator_address,
+                                    {.method = "GET", .target = "/v1/metrics"})
+                            .answer;
     CHECK(answer.status == 401);
     CHECK_FALSE(Contains(answer.body, "chestnutport_calls"));
   }
@@ -115,11 +115,11 @@
     const std::string path = "?token=" + secret + "query";
     for (const std::string target : {"/dossie/1", "/nowhere"}) {
       for (const auto& to :
-           {vm.caller_address, vm.operator_address, vm.server_side_address}) {
-        Ask(to, {.method = "POST",
-                 .target = target + path,
-                 .headers = headers,
-                 .body = secret + "body"});
+           {vm.caller_address, vm.operator_address, vm.announcement_address}) {
+        SendAndWait(to, {.method = "POST",
+                         .target = target + path,
+                         .headers = headers,
+                         .body = secret + "body"});
       }
     }
     vm.node->Signal(SIGTERM);
--- a/tests/demo/soak.cc
+++ b/tests/demo/soak.cc
@@ -57,8 +57,8 @@
        [](test::Fleet&, test::Vm& vm) { vm.peer_relay->Cut(true); },
        [](test::Fleet&, test::Vm& vm) { vm.peer_relay->Cut(false); }},
       {"answers of the node lost",
-       [](test::Fleet&, test::Vm& vm) { vm.peer_relay->LoseAnswers(true); },
-       [](test::Fleet&, test::Vm& vm) { vm.peer_relay->LoseAnswers(false); }},
+       [](test::Fleet&, test::Vm& vm) { vm.peer_relay->DropAnswers(true); },
+       [](test::Fleet&, test::Vm& vm) { vm.peer_relay->DropAnswers(false); }},
       {"node's link slow",
        [](test::Fleet&, test::Vm& vm) {
          vm.peer_relay->SetDelay(milliseconds(80));
@@ -139,7 +139,7 @@
   test::LoadOptions load;
   load.prefix = "round" + std::to_string(round);
   load.seed = random();
-  return small.RunThrough(load, [&] { RunSteps(steps); });
+  return small.RunWithFault(load, [&] { RunSteps(steps); });
 }
 
 }  // namespace
--- a/tests/support/fleet.cc
+++ b/tests/support/fleet.cc
@@ -106,8 +106,8 @@
       std::vector<std::string>{"--settings=" + vm.settings.string()});
   vm.caller_address = Address(*vm.node, "caller");
   vm.operator_address = Address(*vm.node, "operator");
-  vm.server_side_address = Address(*vm.node, "server");
-  vm.announce_relay->SetTarget(vm.server_side_address);
+  vm.announcement_address = Address(*vm.node, "server");
+  vm.announce_relay->SetTarget(vm.announcement_address);
   vm.peer_relay->SetTarget(Address(*vm.node, "peer"));
 }
 
@@ -167,11 +167,11 @@
                                const std::string& target,
                                const std::string& body) const {
   const std::string token = kOperatorToken;
-  return Ask(vm.operator_address,
-             {.method = method,
-              .target = target,
-              .headers = {{"Authorization", "Bearer " + token}},
-              .body = body})
+  return SendAndWait(vm.operator_address,
+                     {.method = method,
+                      .target = target,
+                      .headers = {{"Authorization", "Bearer " + token}},
+                      .body = body})
       .answer;
 }
 
@@ -181,7 +181,8 @@
                             const std::string& request_id,
                             net::HttpHeaders headers) const {
   headers.push_back({"X-Request-Id", request_id});
-  return Ask(vm.caller_address,
+  return SendAndWait(
+             vm.caller_address,
              {.method = method, .target = path, .headers = std::move(headers)})
       .answer;
 }
@@ -209,7 +210,7 @@
   });
 }
 
-bool Fleet::HasServer(const Vm& vm) const {
+bool Fleet::IsServerRegistered(const Vm& vm) const {
   const json status = Status(vm);
   return status.is_object() &&
          std::ranges::any_of(status["members"], [&](const json& member) {
@@ -240,8 +241,8 @@
 
 json Fleet::CommandServer(const Vm& vm, const std::string& command) const {
   const auto result =
-      Ask(vm.server_address,
-          {.method = "POST", .target = "/standin", .body = command});
+      SendAndWait(vm.server_address,
+                  {.method = "POST", .target = "/standin", .body = command});
   return json::parse(result.answer.body, nullptr, false);
 }
 
@@ -263,8 +264,8 @@
 
 json Fleet::CommandStore(const std::string& command) const {
   const auto result =
-      Ask(store_address_,
-          {.method = "POST", .target = "/standin", .body = command});
+      SendAndWait(store_address_,
+                  {.method = "POST", .target = "/standin", .body = command});
   return json::parse(result.answer.body, nullptr, false);
 }
 
--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -32,9 +32,9 @@
   std::unique_ptr<Process> server;
   base::SocketAddress caller_address;
   base::SocketAddress operator_address;
-  base::SocketAddress server_side_address;  // Where the server announces.
-  base::SocketAddress server_address;       // The server itself.
-  std::unique_ptr<Relay> peer_relay;        // Between other nodes and the node.
+  base::SocketAddress announcement_address;  // Where the server announces.
+  base::SocketAddress server_address;        // The server itself.
+  std::unique_ptr<Relay> peer_relay;  // Between other nodes and the node.
   // Before the node's side to its server, which announces itself there: a node
   // that is started anew listens at another port.
   std::unique_ptr<Relay> announce_relay;
@@ -93,7 +93,7 @@
   // The same as seen by one of them.
   bool IsLeavingAt(const Vm& observer, const Vm& vm) const;
   // Whether the VM's node has heard of the server beside it.
-  bool HasServer(const Vm& vm) const;
+  bool IsServerRegistered(const Vm& vm) const;
 
   // How often each request id was started, by any server at any time.
   std::map<std::string, int> Executions() const;
--- a/tests/support/http_caller.cc
+++ b/tests/support/http_caller.cc
@@ -6,9 +6,9 @@
 
 namespace chestnutport::test {
 
-net::TransferResult Ask(const base::SocketAddress& to,
-                        net::HttpRequest request,
-                        std::chrono::seconds limit) {
+net::TransferResult SendAndWait(const base::SocketAddress& to,
+                                net::HttpRequest request,
+                                std::chrono::seconds limit) {
   net::EventLoop loop;
   net::HttpClient client(loop, net::HttpClientOptions{});
   net::TransferResult result;
--- a/tests/support/http_caller.h
+++ b/tests/support/http_caller.h
@@ -11,9 +11,10 @@
 namespace chestnutport::test {
 
 // Sends one request on a connection of its own and waits for its end.
-net::TransferResult Ask(const base::SocketAddress& to,
-                        net::HttpRequest request,
-                        std::chrono::seconds limit = std::chrono::seconds(30));
+net::TransferResult SendAndWait(
+    const base::SocketAddress& to,
+    net::HttpRequest request,
+    std::chrono::seconds limit = std::chrono::seconds(30));
 
 }  // namespace chestnutport::test
 
--- a/tests/support/load.cc
+++ b/tests/support/load.cc
@@ -11,7 +11,7 @@
 namespace chestnutport::test {
 namespace {
 
-net::HttpClientOptions ManyConnections() {
+net::HttpClientOptions ClientOptions() {
   net::HttpClientOptions options;
   options.connections_per_host = 1024;
   return options;
@@ -23,10 +23,10 @@
     : options_(std::move(options)),
       nodes_(std::move(nodes)),
       random_(options_.seed),
-      client_(loop_, ManyConnections()) {
-  active_ = options_.callers;
+      client_(loop_, ClientOptions()) {
+  active_callers_ = options_.callers;
   for (int i = 0; i < options_.callers; ++i)
-    loop_.Post([this] { Begin(); });
+    loop_.Post([this] { SendNext(); });
   thread_ = std::thread([this] { loop_.Run(); });
 }
 
@@ -39,17 +39,18 @@
 }
 
 bool Load::WaitForMore(size_t count) {
-  const size_t wanted = ended_ + count;
-  return WaitUntil([&] { return ended_ >= wanted; }, std::chrono::minutes(1));
+  const size_t wanted = completed_ + count;
+  return WaitUntil([&] { return completed_ >= wanted; },
+                   std::chrono::minutes(1));
 }
 
-bool Load::WaitForMoreAndUnderWay(size_t count) {
+bool Load::WaitForMoreAndPending(size_t count) {
   if (!WaitForMore(count))
     return false;
   std::promise<uint64_t> newest;
   loop_.Post([&] { newest.set_value(last_id_); });
   const uint64_t last = newest.get_future().get();
-  return WaitUntil([&] { return oldest_open_ > last; },
+  return WaitUntil([&] { return oldest_pending_ > last; },
                    std::chrono::minutes(1));
 }
 
@@ -61,29 +62,29 @@
   return std::exchange(records_, {});
 }
 
-void Load::Begin() {
+void Load::SendNext() {
   if (stopping_) {
-    if (--active_ == 0)
+    if (--active_callers_ == 0)
       loop_.Stop();
     return;
   }
   const bool repeatable =
       random_() % 100 < static_cast<uint64_t>(options_.repeatable_share);
-  open_.insert(++last_id_);
-  NoteOldest();
+  pending_.insert(++last_id_);
+  UpdateOldestPending();
   Send(last_id_, repeatable, 0);
 }
 
-std::string Load::NameOf(uint64_t number) const {
+std::string Load::RequestId(uint64_t number) const {
   return absl::StrCat(options_.prefix, "-", number);
 }
 
-void Load::NoteOldest() {
-  oldest_open_ = open_.empty() ? last_id_ + 1 : *open_.begin();
+void Load::UpdateOldestPending() {
+  oldest_pending_ = pending_.empty() ? last_id_ + 1 : *pending_.begin();
 }
 
 void Load::Send(uint64_t number, bool repeatable, size_t tries) {
-  const std::string id = NameOf(number);
+  const std::string id = RequestId(number);
   const base::SocketAddress& node = nodes_[random_() % nodes_.size()];
   net::HttpRequest request;
   request.method = repeatable ? "GET" : "POST";
@@ -93,7 +94,7 @@
   request.headers = {{"X-Request-Id", id}};
   if (!repeatable)
     request.body = id;
-  client_.Send(node, std::move(request), options_.patience,
+  client_.Send(node, std::move(request), options_.timeout,
                [this, number, repeatable, tries](const net::TransferResult& r) {
                  OnDone(number, repeatable, tries, r);
                });
@@ -107,7 +108,7 @@
     Send(number, repeatable, tries + 1);
     return;
   }
-  const std::string id = NameOf(number);
+  const std::string id = RequestId(number);
   const net::HttpAnswer& answer = result.answer;
   CallRecord record{.id = id, .repeatable = repeatable, .end = result.end};
   record.status = answer.status;
@@ -115,10 +116,10 @@
   record.error = net::FindHeader(answer.headers, wire::kErrorHeader);
   record.is_own_whole_answer = IsOwnWholeAnswer(id, answer.body);
   records_.push_back(std::move(record));
-  ++ended_;
-  open_.erase(number);
-  NoteOldest();
-  loop_.CallAfter(options_.pause, [this] { Begin(); });
+  ++completed_;
+  pending_.erase(number);
+  UpdateOldestPending();
+  loop_.CallAfter(options_.pause, [this] { SendNext(); });
 }
 
 bool Load::IsOwnWholeAnswer(const std::string& id,
--- a/tests/support/load.h
+++ b/tests/support/load.h
@@ -37,7 +37,7 @@
   std::chrono::milliseconds pause{5};  // Of a caller between two requests.
   int repeatable_share = 50;           // Percent of the requests.
   int answer_bytes = 2000;
-  std::chrono::seconds patience{20};  // Longer than any deadline declared.
+  std::chrono::seconds timeout{20};  // Longer than any deadline declared.
   uint64_t seed = 1;
 };
 
@@ -56,20 +56,20 @@
   bool WaitForMore(size_t count);
   // The same, and then for the end of all that are under way by then: those
   // that a fault holds up end at their deadline.
-  bool WaitForMoreAndUnderWay(size_t count);
+  bool WaitForMoreAndPending(size_t count);
   // Waits for all that is in flight, and ends.
   std::vector<CallRecord> Stop();
 
  private:
-  void Begin();
+  void SendNext();
   void Send(uint64_t number, bool repeatable, size_t tries);
   void OnDone(uint64_t number,
               bool repeatable,
               size_t tries,
               const net::TransferResult& result);
-  std::string NameOf(uint64_t number) const;
+  std::string RequestId(uint64_t number) const;
   // After each change of what is under way.
-  void NoteOldest();
+  void UpdateOldestPending();
   bool IsOwnWholeAnswer(const std::string& id, const std::string& body) const;
 
   const LoadOptions options_;
@@ -79,11 +79,11 @@
   net::HttpClient client_;
   std::vector<CallRecord> records_;
   uint64_t last_id_ = 0;
-  std::set<uint64_t> open_;  // Requests under way.
-  std::atomic<uint64_t> oldest_open_{0};
-  int active_ = 0;
+  std::set<uint64_t> pending_;  // Requests under way.
+  std::atomic<uint64_t> oldest_pending_{0};
+  int active_callers_ = 0;
   bool stopping_ = false;
-  std::atomic<size_t> ended_{0};
+  std::atomic<size_t> completed_{0};
   std::thread thread_;
 };
 
--- a/tests/support/process.cc
+++ b/tests/support/process.cc
@@ -92,8 +92,8 @@
   return output_;
 }
 
-std::vector<std::string> Process::FieldsOf(const std::string& text,
-                                           const std::string& name) {
+std::vector<std::string> Process::FieldValues(const std::string& text,
+                                              const std::string& name) {
   const std::string wanted = " " + name + "=";
   std::vector<std::string> values;
   std::istringstream lines(Output());
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -33,8 +33,8 @@
   // Everything that was written until now.
   const std::string& Output();
   // Every value of ` name=` in lines that hold `text`, in order.
-  std::vector<std::string> FieldsOf(const std::string& text,
-                                    const std::string& name);
+  std::vector<std::string> FieldValues(const std::string& text,
+                                       const std::string& name);
 
   pid_t pid() const { return pid_; }
 
--- a/tests/support/raw_server.cc
+++ b/tests/support/raw_server.cc
@@ -12,11 +12,11 @@
       socket_(
           net::ListeningSocket::Open(*base::SocketAddress::Parse("127.0.0.1:0"))
               .value()),
-      accepting_([this] { AcceptAll(); }) {}
+      accept_thread_([this] { AcceptAll(); }) {}
 
 RawServer::~RawServer() {
   shutdown(socket_.fd(), SHUT_RDWR);
-  accepting_.join();
+  accept_thread_.join();
   {
     const std::lock_guard lock(mutex_);
     for (RawSocket& connection : connections_)
--- a/tests/support/raw_server.h
+++ b/tests/support/raw_server.h
@@ -33,7 +33,7 @@
   std::mutex mutex_;
   std::list<RawSocket> connections_;
   std::vector<std::thread> threads_;
-  std::thread accepting_;
+  std::thread accept_thread_;
 };
 
 }  // namespace chestnutport::test
--- a/tests/support/raw_socket.cc
+++ b/tests/support/raw_socket.cc
@@ -13,27 +13,28 @@
 namespace chestnutport::test {
 namespace {
 
-constexpr timeval kLimit{.tv_sec = 10, .tv_usec = 0};
+constexpr timeval kIoTimeout{.tv_sec = 10, .tv_usec = 0};
 
 }  // namespace
 
 RawSocket::RawSocket(int fd) : fd_(fd) {
-  setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &kLimit, sizeof(kLimit));
-  setsockopt(fd_, SOL_SOCKET, SO_SNDTIMEO, &kLimit, sizeof(kLimit));
+  setsockopt(fd_, SOL_SOCKET, SO_RCVTIMEO, &kIoTimeout, sizeof(kIoTimeout));
+  setsockopt(fd_, SOL_SOCKET, SO_SNDTIMEO, &kIoTimeout, sizeof(kIoTimeout));
 }
 
 RawSocket::RawSocket(const base::SocketAddress& to)
     : RawSocket(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-  sockaddr_in raw{};
-  raw.sin_family = AF_INET;
-  raw.sin_addr.s_addr = htonl(to.ip);
-  raw.sin_port = htons(to.port);
-  if (connect(fd_, reinterpret_cast<sockaddr*>(&raw), sizeof(raw)) != 0)
+  sockaddr_in native_address{};
+  native_address.sin_family = AF_INET;
+  native_address.sin_addr.s_addr = htonl(to.ip);
+  native_address.sin_port = htons(to.port);
+  if (connect(fd_, reinterpret_cast<sockaddr*>(&native_address),
+              sizeof(native_address)) != 0)
     Close();
 }
 
 RawSocket::RawSocket(RawSocket&& other) noexcept
-    : fd_(other.fd_.exchange(-1)), read_(std::move(other.read_)) {}
+    : fd_(other.fd_.exchange(-1)), buffer_(std::move(other.buffer_)) {}
 
 RawSocket::~RawSocket() {
   Close();
@@ -53,17 +54,17 @@
   char buffer[16 * 1024];
   const ssize_t size = recv(fd_, buffer, sizeof(buffer), 0);
   if (size > 0)
-    read_.append(buffer, static_cast<size_t>(size));
+    buffer_.append(buffer, static_cast<size_t>(size));
   return size > 0;
 }
 
-std::string RawSocket::ReadUntil(std::string_view mark) {
+std::string RawSocket::ReadUntil(std::string_view delimiter) {
   size_t at = std::string::npos;
-  while ((at = read_.find(mark)) == std::string::npos) {
+  while ((at = buffer_.find(delimiter)) == std::string::npos) {
     if (!ReadMore())
-      return std::exchange(read_, "");
+      return std::exchange(buffer_, "");
   }
-  return ReadSome(at + mark.size());
+  return ReadSome(at + delimiter.size());
 }
 
 std::string RawSocket::ReadMessage() {
@@ -72,7 +73,7 @@
   if (at == std::string::npos)
     return message;
   const size_t length = std::strtoul(message.c_str() + at + 16, nullptr, 10);
-  while (read_.size() < length && ReadMore()) {
+  while (buffer_.size() < length && ReadMore()) {
   }
   return message + ReadSome(length);
 }
@@ -80,14 +81,14 @@
 std::string RawSocket::ReadToEnd() {
   while (ReadMore()) {
   }
-  return std::exchange(read_, "");
+  return std::exchange(buffer_, "");
 }
 
 std::string RawSocket::ReadSome(size_t size) {
-  if (read_.empty() && size > 0)
+  if (buffer_.empty() && size > 0)
     ReadMore();
-  std::string taken = read_.substr(0, size);
-  read_.erase(0, taken.size());
+  std::string taken = buffer_.substr(0, size);
+  buffer_.erase(0, taken.size());
   return taken;
 }
 
@@ -96,8 +97,9 @@
 }
 
 void RawSocket::Reset() {
-  const linger at_once{.l_onoff = 1, .l_linger = 0};
-  setsockopt(fd_, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+  const linger abort_on_close{.l_onoff = 1, .l_linger = 0};
+  setsockopt(fd_, SOL_SOCKET, SO_LINGER, &abort_on_close,
+             sizeof(abort_on_close));
   Close();
 }
 
--- a/tests/support/raw_socket.h
+++ b/tests/support/raw_socket.h
@@ -22,7 +22,7 @@
   // False if the other end has closed.
   bool Send(std::string_view bytes);
   // Reads through the first `mark`, or until the other end closes.
-  std::string ReadUntil(std::string_view mark);
+  std::string ReadUntil(std::string_view delimiter);
   // Reads a head and as much body as its Content-Length says.
   std::string ReadMessage();
   std::string ReadToEnd();
@@ -42,7 +42,7 @@
   bool ReadMore();
 
   std::atomic<int> fd_;  // Also read by who wants to end the connection.
-  std::string read_;
+  std::string buffer_;
 };
 
 }  // namespace chestnutport::test
--- a/tests/support/relay.cc
+++ b/tests/support/relay.cc
@@ -13,7 +13,7 @@
 namespace chestnutport::test {
 namespace {
 
-constexpr size_t kPartSize = 65536;
+constexpr size_t kBufferSize = 65536;
 
 net::ListeningSocket OpenSocket() {
   const auto any = base::SocketAddress::Parse("127.0.0.1:0");
@@ -37,12 +37,13 @@
 
 // Both ends of one relayed connection.
 struct Relay::Connection {
-  int opener_fd = -1;
+  int client_fd = -1;
   int target_fd = -1;
-  bool silent = false;
+  bool is_silent = false;
 };
 
-Relay::Relay(const base::SocketAddress& to) : to_(to), socket_(OpenSocket()) {
+Relay::Relay(const base::SocketAddress& to)
+    : target_(to), socket_(OpenSocket()) {
   loop_.Watch(socket_.fd(), EPOLLIN, [this](uint32_t) { Accept(); });
   thread_ = std::thread([this] { loop_.Run(); });
 }
@@ -55,14 +56,14 @@
 }
 
 void Relay::SetTarget(const base::SocketAddress& to) {
-  RunOnLoop([&] { to_ = to; });
+  RunOnLoop([&] { target_ = to; });
 }
 
 void Relay::SilenceOpenConnections() {
   RunOnLoop([&] {
     for (auto& [id, connection] : connections_) {
-      connection->silent = true;
-      loop_.Unwatch(connection->opener_fd);
+      connection->is_silent = true;
+      loop_.Unwatch(connection->client_fd);
       loop_.Unwatch(connection->target_fd);
     }
   });
@@ -75,8 +76,8 @@
   });
 }
 
-void Relay::LoseAnswers(bool lose) {
-  RunOnLoop([&] { lose_answers_ = lose; });
+void Relay::DropAnswers(bool drop) {
+  RunOnLoop([&] { drop_answers_ = drop; });
 }
 
 void Relay::SetDelay(std::chrono::milliseconds delay) {
@@ -84,7 +85,7 @@
 }
 
 void Relay::Cut(bool cut) {
-  RunOnLoop([&] { cut_ = cut; });
+  RunOnLoop([&] { is_disconnected_ = cut; });
   if (cut)
     ResetOpenConnections();
 }
@@ -96,18 +97,18 @@
 }
 
 void Relay::Accept() {
-  const int opener_fd = accept4(socket_.fd(), nullptr, nullptr, SOCK_CLOEXEC);
-  if (opener_fd < 0)
+  const int client_fd = accept4(socket_.fd(), nullptr, nullptr, SOCK_CLOEXEC);
+  if (client_fd < 0)
     return;
-  const int target_fd = cut_ ? -1 : Connect(to_);
+  const int target_fd = is_disconnected_ ? -1 : Connect(target_);
   if (target_fd < 0) {
-    close(opener_fd);
+    close(client_fd);
     return;
   }
   const uint64_t id = ++last_id_;
   connections_[id] =
-      std::make_unique<Connection>(Connection{opener_fd, target_fd});
-  loop_.Watch(opener_fd, EPOLLIN, [this, id](uint32_t) { Pump(id, true); });
+      std::make_unique<Connection>(Connection{client_fd, target_fd});
+  loop_.Watch(client_fd, EPOLLIN, [this, id](uint32_t) { Pump(id, true); });
   loop_.Watch(target_fd, EPOLLIN, [this, id](uint32_t) { Pump(id, false); });
 }
 
@@ -116,8 +117,8 @@
   if (found == connections_.end())
     return;
   const Connection& connection = *found->second;
-  const int from = towards_target ? connection.opener_fd : connection.target_fd;
-  std::array<char, kPartSize> buffer{};
+  const int from = towards_target ? connection.client_fd : connection.target_fd;
+  std::array<char, kBufferSize> buffer{};
   const ssize_t size = recv(from, buffer.data(), buffer.size(), MSG_DONTWAIT);
   if (size < 0 && errno == EAGAIN)
     return;  // The event was for an earlier connection of this number.
@@ -141,12 +142,12 @@
                     bool towards_target,
                     const std::string& bytes) {
   const auto found = connections_.find(id);
-  if (found == connections_.end() || found->second->silent)
+  if (found == connections_.end() || found->second->is_silent)
     return;
-  if (lose_answers_ && !towards_target)
+  if (drop_answers_ && !towards_target)
     return;
   const int to =
-      towards_target ? found->second->target_fd : found->second->opener_fd;
+      towards_target ? found->second->target_fd : found->second->client_fd;
   const ssize_t sent = send(to, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   if (sent != static_cast<ssize_t>(bytes.size()))
     Close(id, true);
@@ -156,11 +157,12 @@
   auto node = connections_.extract(id);
   if (node.empty())
     return;
-  const linger at_once{1, 0};
-  for (const int fd : {node.mapped()->opener_fd, node.mapped()->target_fd}) {
+  const linger abort_on_close{1, 0};
+  for (const int fd : {node.mapped()->client_fd, node.mapped()->target_fd}) {
     loop_.Unwatch(fd);
     if (reset)
-      setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+      setsockopt(fd, SOL_SOCKET, SO_LINGER, &abort_on_close,
+                 sizeof(abort_on_close));
     close(fd);
   }
 }
--- a/tests/support/relay.h
+++ b/tests/support/relay.h
@@ -35,7 +35,7 @@
   void ResetOpenConnections();
   // Bytes towards the opener of a connection are swallowed, on open and new
   // connections alike, so that answers are lost.
-  void LoseAnswers(bool lose);
+  void DropAnswers(bool drop);
   // Every part is handed on this much later.
   void SetDelay(std::chrono::milliseconds delay);
   // Open connections are reset and new ones closed at once.
@@ -51,13 +51,13 @@
   void Close(uint64_t id, bool reset);
   void RunOnLoop(const std::function<void()>& task);
 
-  base::SocketAddress to_;
+  base::SocketAddress target_;
   net::ListeningSocket socket_;
   net::EventLoop loop_;
   std::map<uint64_t, std::unique_ptr<Connection>> connections_;
   uint64_t last_id_ = 0;
-  bool lose_answers_ = false;
-  bool cut_ = false;
+  bool drop_answers_ = false;
+  bool is_disconnected_ = false;
   std::chrono::milliseconds delay_{0};
   std::thread thread_;
 };
--- a/tests/support/small_fleet.cc
+++ b/tests/support/small_fleet.cc
@@ -13,13 +13,13 @@
     throw std::runtime_error("the fleet is not ready");
 }
 
-Audit SmallFleet::RunThrough(const LoadOptions& load,
-                             const std::function<void()>& fault) {
-  return RunThrough(load, [&fault](Load&) { fault(); });
+Audit SmallFleet::RunWithFault(const LoadOptions& load,
+                               const std::function<void()>& fault) {
+  return RunWithFault(load, [&fault](Load&) { fault(); });
 }
 
-Audit SmallFleet::RunThrough(const LoadOptions& load,
-                             const std::function<void(Load&)>& fault) {
+Audit SmallFleet::RunWithFault(const LoadOptions& load,
+                               const std::function<void(Load&)>& fault) {
   Load callers(load, fleet.CallerAddresses());
   if (!callers.WaitForMore(calls))
     throw std::runtime_error("no traffic before the fault");
--- a/tests/support/small_fleet.h
+++ b/tests/support/small_fleet.h
@@ -23,10 +23,11 @@
 
   // Runs `load` while `fault` is done to the fleet, with at least `calls`
   // requests before it and after it; what callers and servers say of it.
-  Audit RunThrough(const LoadOptions& load, const std::function<void()>& fault);
+  Audit RunWithFault(const LoadOptions& load,
+                     const std::function<void()>& fault);
   // The same, of a fault that lasts until something has become of the load.
-  Audit RunThrough(const LoadOptions& load,
-                   const std::function<void(Load&)>& fault);
+  Audit RunWithFault(const LoadOptions& load,
+                     const std::function<void(Load&)>& fault);
 
   Fleet fleet;
   Vm& a;
