--- a/tests/support/allocation_count.h
+++ b/tests/support/allocation_count.h
@@ -1,5 +1,5 @@
-// Counts the process's allocations; a test lists allocation_count.cc among its
-// sources to have them counted.
+// Counts the allocations of the process. A test enables this by adding
+// allocation_count.cc to its sources.
 #ifndef SUPPORT_ALLOCATION_COUNT_H_
 #define SUPPORT_ALLOCATION_COUNT_H_
 
@@ -7,7 +7,7 @@
 
 namespace chestnutport::test {
 
-// Calls of operator new so far, on all threads.
+// Returns the number of calls of operator new so far, on all threads.
 uint64_t AllocationCount();
 
 }  // namespace chestnutport::test
--- a/tests/support/audit.cc
+++ b/tests/support/audit.cc
@@ -29,7 +29,7 @@
   } else if (!said_answered) {
     ++audit.unknown;
   } else if (record.status != kOk || record.is_own_whole_answer) {
-    ++audit.answered;  // Also with the server's own error.
+    ++audit.answered;  // Includes error answers of the server.
     audit.answered_but_not_run += executions.finished == 0;
   } else {
     ++audit.wrong_answer;
--- a/tests/support/audit.h
+++ b/tests/support/audit.h
@@ -1,4 +1,5 @@
-// Compares what callers were told with what servers wrote down.
+// Compares the outcomes reported to callers with the servers' execution
+// ledgers.
 #ifndef SUPPORT_AUDIT_H_
 #define SUPPORT_AUDIT_H_
 
@@ -13,31 +14,31 @@
 
 struct Audit {
   size_t calls = 0;
-  size_t answered = 0;  // With the whole answer to the own request.
-  size_t not_run = 0;   // Told so.
-  size_t unknown = 0;   // Told that it may have run.
-  std::map<std::string, size_t> errors;  // By the error's name.
+  size_t answered = 0;  // With the complete answer to the same request.
+  size_t not_run = 0;   // Reported as not run, or never sent.
+  size_t unknown = 0;   // Reported as possibly run.
+  std::map<std::string, size_t> errors;  // By error name.
 
   // Violations.
-  size_t ran_twice = 0;  // Not repeatable, started more than once.
+  size_t ran_twice = 0;  // Not repeatable, but started more than once.
   size_t said_not_run_but_ran = 0;
-  size_t wrong_answer = 0;  // Another's, or not whole.
+  size_t wrong_answer = 0;  // To another request, or incomplete.
   size_t answered_but_not_run = 0;
-  size_t no_answer = 0;  // The connection ended without one.
-  // The connection ended after a head and before the whole body: the caller
-  // sees that its answer is cut. Only a streamed answer may end so, and only
-  // if its server's did.
+  size_t no_answer = 0;  // Neither a complete nor a visibly cut answer.
+  // The connection ended after the head and before the end of the body, so that
+  // the caller can detect the truncation. Allowed only for a streamed answer,
+  // and only if the server's answer was truncated.
   size_t cut_visibly = 0;
 
   static Audit Make(const std::vector<CallRecord>& records,
                     const ExecutionLedger& ledger);
 
-  // Violations of what must hold under every fault.
+  // Violations of the guarantees that hold under every fault.
   size_t violations() const {
     return ran_twice + said_not_run_but_ran + wrong_answer +
            answered_but_not_run;
   }
-  // Requests that a planned stop must not have touched.
+  // Requests that were interrupted. Must be zero for a planned stop.
   size_t cut() const { return no_answer + unknown + cut_visibly; }
   std::string ToString() const;
 };
--- a/tests/support/execution_ledger.h
+++ b/tests/support/execution_ledger.h
@@ -1,4 +1,4 @@
-// What a server stand-in wrote down about the requests it ran.
+// The requests that a server stand-in recorded as run.
 #ifndef SUPPORT_EXECUTION_LEDGER_H_
 #define SUPPORT_EXECUTION_LEDGER_H_
 
@@ -13,14 +13,15 @@
   int finished = 0;
 };
 
-// By the request's id. Each server appends one line to its file when a request
-// starts and one when it finishes, so that the file survives a kill.
+// Maps request ids to executions. Each server appends one line to its file when
+// a request starts and one when it finishes, so that the record survives a
+// kill.
 using ExecutionLedger = std::map<std::string, Executions>;
 
-// Reads the files of all servers in `folder`, also of those that were ended.
+// Reads the files of all servers in `folder`, including stopped ones.
 ExecutionLedger ReadLedger(const std::filesystem::path& folder);
 
-// How many requests one file says were started.
+// Returns the number of requests that `file` records as started.
 size_t CountStarted(const std::filesystem::path& file);
 
 }  // namespace chestnutport::test
--- a/tests/support/fleet.h
+++ b/tests/support/fleet.h
@@ -1,4 +1,4 @@
-// A small fleet of real processes: the store stand-in, nodes, and servers.
+// A small fleet of real processes: the store stand-in, nodes and servers.
 #ifndef SUPPORT_FLEET_H_
 #define SUPPORT_FLEET_H_
 
@@ -27,50 +27,50 @@
   std::string service;
   std::vector<std::string> server_flags;
   std::filesystem::path settings;
-  std::filesystem::path ledger;  // Of its servers, one after the other.
+  std::filesystem::path ledger;  // Of all its successive servers.
   std::unique_ptr<Process> node;
   std::unique_ptr<Process> server;
   base::SocketAddress caller_address;
   base::SocketAddress operator_address;
-  base::SocketAddress announcement_address;  // Where the server announces.
-  base::SocketAddress server_address;        // The server itself.
+  base::SocketAddress announcement_address;  // For server announcements.
+  base::SocketAddress server_address;        // Bypasses server_relay.
   std::unique_ptr<Relay> peer_relay;  // Between other nodes and the node.
-  // Before the node's side to its server, which announces itself there: a node
-  // that is started anew listens at another port.
+  // Between the server and the announcement_address of its node, which changes
+  // when the node is restarted.
   std::unique_ptr<Relay> announce_relay;
   std::unique_ptr<Relay> server_relay;  // Between the node and its server.
 };
 
 class Fleet {
  public:
-  // `leave_notice`: of each node.
+  // `leave_notice` is the setting of this name on each node.
   explicit Fleet(
       std::chrono::milliseconds leave_notice = std::chrono::milliseconds(1500));
   ~Fleet();
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  // Starts a node and, unless `service` is empty, a server beside it. Relays
-  // lie before both.
+  // Starts a node and, unless `service` is empty, a server on the same VM, both
+  // behind relays.
   Vm& AddVm(const std::string& name,
             const std::string& data_centre,
             const std::string& service,
             const std::vector<std::string>& server_flags = {});
 
-  // Starts the VM's node or server anew; what still runs is killed first.
+  // Restarts the VM's node or server. A running one is killed first.
   void StartNode(Vm& vm);
   void StartServer(Vm& vm);
-  // A planned replacement of a VM: drains it, waits until all the others know,
-  // stops the node and then the server once they have no work left, and starts
-  // both anew. Whether each step came to its end.
+  // Performs a planned replacement of a VM: drains it, waits until all other
+  // nodes see the drain, stops the node and then the server gracefully, and
+  // starts both again. Returns whether each step succeeded.
   bool Replace(Vm& vm, const std::vector<Load*>& loads);
 
-  // Plans and confirms declarations through `vm`; the confirmed revision, or
-  // zero if it was refused.
+  // Plans and confirms declarations through `vm`. Returns the confirmed
+  // revision, or zero if it was refused.
   uint64_t Confirm(const Vm& vm,
                    const std::map<std::string, std::string>& declarations);
 
-  // The operators' API of one node.
+  // Sends a request to the operators' API of the VM's node.
   net::HttpAnswer Operate(const Vm& vm,
                           const std::string& method,
                           const std::string& target,
@@ -83,36 +83,38 @@
                        const std::string& request_id,
                        net::HttpHeaders headers = {}) const;
 
-  // Waits until `vm` knows `servers` serving servers and `revision`.
+  // Waits until the node of `vm` lists exactly `servers` serving servers and
+  // has `revision` or a later one.
   bool WaitReady(const Vm& vm, size_t servers, uint64_t revision) const;
 
-  // Waits until every node knows `servers` serving servers and `revision`.
+  // Same, for every node in turn.
   bool WaitAllReady(size_t servers, uint64_t revision) const;
-  // Whether every other node that runs knows that `vm` takes no new work.
+  // Returns whether no other node lists the server of `vm` as serving.
   bool IsLeavingEverywhere(const Vm& vm) const;
-  // The same as seen by one of them.
+  // Same, as seen by one node. False if the node does not answer.
   bool IsLeavingAt(const Vm& observer, const Vm& vm) const;
-  // Whether the VM's node has heard of the server beside it.
+  // Returns whether the VM's node lists its local server.
   bool IsServerRegistered(const Vm& vm) const;
 
-  // How often each request id was started, by any server at any time.
+  // Returns how often each request id was started, over all servers.
   std::map<std::string, int> Executions() const;
   ExecutionLedger Ledger() const;
-  // The counts of a server stand-in, and a command to it.
+  // Sends a command to the server stand-in. Returns its counters.
   nlohmann::json CommandServer(const Vm& vm, const std::string& command) const;
 
-  // Where callers reach the nodes, without that of `except`.
+  // Returns the caller addresses of all nodes but that of `except`.
   std::vector<base::SocketAddress> CallerAddresses(
       const Vm* except = nullptr) const;
 
-  // Waits until the store stand-in has had `count` more calls.
+  // Waits until the store stand-in has received `count` more calls.
   bool WaitForStoreCalls(int count) const;
-  // Gives the store stand-in a command, such as {"mode": "down"}.
+  // Sends the store stand-in a command, such as {"mode": "down"}. Returns its
+  // state.
   nlohmann::json CommandStore(const std::string& command) const;
 
   const std::vector<std::unique_ptr<Vm>>& vms() const { return vms_; }
   Process& store() { return *store_; }
-  Relay& store_relay() { return *store_relay_; }  // Before the store.
+  Relay& store_relay() { return *store_relay_; }  // Between nodes and store.
   const std::filesystem::path& folder() const { return folder_; }
   const base::SocketAddress& store_address() const { return store_address_; }
 
--- a/tests/support/fleet_name.h
+++ b/tests/support/fleet_name.h
@@ -1,4 +1,4 @@
-// The name of the fleets that this test process starts.
+// The fleet name used by the nodes of this test process.
 #ifndef SUPPORT_FLEET_NAME_H_
 #define SUPPORT_FLEET_NAME_H_
 
@@ -6,9 +6,9 @@
 
 namespace chestnutport::test {
 
-// Another one in each process: tests that run at the same time are handed each
-// other's ports by the kernel as soon as a node of theirs has ended, and two
-// fleets of one name and key would become one.
+// Returns a name that is unique to the process. When a node ends, the kernel
+// may give its port to a test that runs at the same time, and two fleets with
+// the same name and key would merge.
 std::string FleetName();
 
 }  // namespace chestnutport::test
--- a/tests/support/http_caller.h
+++ b/tests/support/http_caller.h
@@ -1,4 +1,4 @@
-// A caller that waits for its answer.
+// A blocking HTTP client for tests.
 #ifndef SUPPORT_HTTP_CALLER_H_
 #define SUPPORT_HTTP_CALLER_H_
 
@@ -10,7 +10,8 @@
 
 namespace chestnutport::test {
 
-// Sends one request on a connection of its own and waits for its end.
+// Sends one request on a new connection and waits at most `limit` for its
+// result.
 net::TransferResult SendAndWait(
     const base::SocketAddress& to,
     net::HttpRequest request,
--- a/tests/support/load.h
+++ b/tests/support/load.h
@@ -1,5 +1,5 @@
-// Many callers at once, on one thread, each waiting for its answer before it
-// asks again.
+// A closed-loop load generator: many concurrent callers on one thread, each of
+// which waits for its answer before it sends the next request.
 #ifndef SUPPORT_LOAD_H_
 #define SUPPORT_LOAD_H_
 
@@ -18,46 +18,46 @@
 
 namespace chestnutport::test {
 
-// The end of one request as its caller saw it.
+// The result of one request as seen by its caller.
 struct CallRecord {
   std::string id;
   bool repeatable = false;
   net::TransferEnd end = net::TransferEnd::kLost;
   int status = 0;
-  std::string outcome;  // As the answer's header says.
+  std::string outcome;  // From the Chestnutport-Outcome header.
   std::string error;
   bool is_own_whole_answer = false;
 };
 
 struct LoadOptions {
-  std::string prefix = "r";  // Of the request ids.
+  std::string prefix = "r";  // Prefix of the request ids.
   std::string path = "/dossie/";
   int callers = 32;
-  std::chrono::milliseconds work{5};   // A server's time for a request.
-  std::chrono::milliseconds pause{5};  // Of a caller between two requests.
+  std::chrono::milliseconds work{5};   // Processing time of a request.
+  std::chrono::milliseconds pause{5};  // Between two requests of a caller.
   int repeatable_share = 50;           // Percent of the requests.
   int answer_bytes = 2000;
-  std::chrono::seconds timeout{20};  // Longer than any deadline declared.
+  std::chrono::seconds timeout{20};  // Longer than any declared deadline.
   uint64_t seed = 1;
 };
 
 class Load {
  public:
-  // Starts at once; each request goes to one of `nodes`, the callers'
-  // addresses of nodes, and to the next one if no connection can be opened.
+  // Starts at once. `nodes` are the nodes' caller addresses. Each request goes
+  // to a random one, and is sent again to a random one if it was not sent.
   Load(LoadOptions options, std::vector<base::SocketAddress> nodes);
   ~Load();
   Load(const Load&) = delete;
   Load& operator=(const Load&) = delete;
 
-  // From now on callers turn to these nodes; what is in flight goes on.
+  // Sends later requests to these nodes. Requests in flight are not affected.
   void SetNodes(std::vector<base::SocketAddress> nodes);
-  // Waits until `count` more requests have come to their end.
+  // Waits until `count` more requests have completed. Returns false on timeout.
   bool WaitForMore(size_t count);
-  // The same, and then for the end of all that are under way by then: those
-  // that a fault holds up end at their deadline.
+  // Same, then also waits for all requests that are pending at that time.
+  // Requests blocked by a fault complete at their deadline.
   bool WaitForMoreAndPending(size_t count);
-  // Waits for all that is in flight, and ends.
+  // Waits for the requests in flight, stops, and returns all results.
   std::vector<CallRecord> Stop();
 
  private:
@@ -68,7 +68,7 @@
               size_t tries,
               const net::TransferResult& result);
   std::string RequestId(uint64_t number) const;
-  // After each change of what is under way.
+  // Must be called after each change of pending_.
   void UpdateOldestPending();
   bool IsOwnWholeAnswer(const std::string& id, const std::string& body) const;
 
@@ -79,7 +79,7 @@
   net::HttpClient client_;
   std::vector<CallRecord> records_;
   uint64_t last_id_ = 0;
-  std::set<uint64_t> pending_;  // Requests under way.
+  std::set<uint64_t> pending_;  // Numbers of the requests in flight.
   std::atomic<uint64_t> oldest_pending_{0};
   int active_callers_ = 0;
   bool stopping_ = false;
--- a/tests/support/mutated_text.h
+++ b/tests/support/mutated_text.h
@@ -1,4 +1,4 @@
-// Texts that were well formed until something changed a few of their bytes.
+// Generates malformed input by mutating well-formed texts.
 #ifndef SUPPORT_MUTATED_TEXT_H_
 #define SUPPORT_MUTATED_TEXT_H_
 
@@ -9,8 +9,8 @@
 
 namespace chestnutport::test {
 
-// One of `corpus` with one to four changes: a byte written over, a part cut
-// out, repeated, or cut off, or a piece of another text put in.
+// Generates a text of `corpus` with one to four mutations: a byte overwritten,
+// a part removed, repeated or truncated, or a part of another text inserted.
 inline rc::Gen<std::string> MutatedText(std::vector<std::string> corpus) {
   return rc::gen::exec([corpus = std::move(corpus)] {
     std::string text = *rc::gen::elementOf(corpus);
--- a/tests/support/process.h
+++ b/tests/support/process.h
@@ -1,5 +1,5 @@
-// A child process of a test, and the lines it writes. They go to a file without
-// a name, so that a process never waits for the test to read them.
+// A child process of a test and its output. The output goes to an anonymous
+// file, so that the process never blocks on a full pipe.
 #ifndef SUPPORT_PROCESS_H_
 #define SUPPORT_PROCESS_H_
 
@@ -14,7 +14,7 @@
 
 class Process {
  public:
-  // Starts `binary`, a name under the build's bin folder.
+  // Starts `binary` from the folder $CHESTNUTPORT_BIN. Throws on failure.
   Process(const std::string& binary, std::vector<std::string> arguments);
   // Kills the process if it still runs.
   ~Process();
@@ -22,17 +22,19 @@
   Process& operator=(const Process&) = delete;
 
   void Signal(int signal) const;
-  // Waits for the end; the exit status, or nothing if it still runs.
+  // Waits for the process to exit. Returns the exit status, -1 if it was ended
+  // by a signal, or nullopt if it still runs after `limit`.
   std::optional<int> WaitForExit(std::chrono::seconds limit);
 
-  // Waits for a line with ` name=` or at its beginning `name=`; its value, or
-  // an empty text if no such line came.
+  // Waits for a line that holds the field `name=`. Returns its first value, or
+  // an empty string if there is none within `limit`.
   std::string WaitForField(
       const std::string& name,
       std::chrono::seconds limit = std::chrono::seconds(30));
-  // Everything that was written until now.
+  // Returns all output so far.
   const std::string& Output();
-  // Every value of ` name=` in lines that hold `text`, in order.
+  // Returns the value of the field `name=` of each line that contains `text`,
+  // in order. A field at the start of a line is not found.
   std::vector<std::string> FieldValues(const std::string& text,
                                        const std::string& name);
 
--- a/tests/support/raw_server.h
+++ b/tests/support/raw_server.h
@@ -1,4 +1,4 @@
-// A server that treats each connection as a test's script says.
+// A TCP server that runs a test's script on each connection.
 #ifndef SUPPORT_RAW_SERVER_H_
 #define SUPPORT_RAW_SERVER_H_
 
@@ -15,12 +15,12 @@
 
 class RawServer {
  public:
-  // Runs on a thread of the connection's own; the connection is closed when it
-  // returns. `number` counts the connections from one.
+  // Runs on one thread per connection. The connection is closed when the script
+  // returns. `number` counts the connections, starting at one.
   using Script = std::function<void(RawSocket& connection, int number)>;
 
   explicit RawServer(Script script);
-  // Ends the connections that are still open.
+  // Shuts down the connections that are still open.
   ~RawServer();
 
   const base::SocketAddress& address() const { return socket_.address(); }
--- a/tests/support/raw_socket.h
+++ b/tests/support/raw_socket.h
@@ -1,4 +1,4 @@
-// A TCP connection on which a test writes and reads bytes as it likes.
+// A TCP connection on which a test reads and writes raw bytes.
 #ifndef SUPPORT_RAW_SOCKET_H_
 #define SUPPORT_RAW_SOCKET_H_
 
@@ -10,8 +10,8 @@
 
 namespace chestnutport::test {
 
-// Blocking; a read or write that takes longer than ten seconds ends as if the
-// connection were closed.
+// Blocking. A read or write that takes longer than ten seconds is treated as a
+// closed connection.
 class RawSocket {
  public:
   explicit RawSocket(int fd);
@@ -19,29 +19,30 @@
   RawSocket(RawSocket&& other) noexcept;
   ~RawSocket();
 
-  // False if the other end has closed.
+  // Returns false if the connection is closed or the write times out.
   bool Send(std::string_view bytes);
-  // Reads through the first `mark`, or until the other end closes.
+  // Reads up to and including the first `delimiter`, or until the peer closes.
   std::string ReadUntil(std::string_view delimiter);
-  // Reads a head and as much body as its Content-Length says.
+  // Reads an HTTP message head and a body of Content-Length bytes.
   std::string ReadMessage();
   std::string ReadToEnd();
-  // Reads at most `size` bytes; empty once the other end has closed.
+  // Reads at most `size` bytes; returns an empty string once
+  // the peer has closed.
   std::string ReadSome(size_t size);
 
   void CloseWriting() const;
-  // Closes with a reset in place of an orderly end.
+  // Closes with a TCP reset in place of an orderly shutdown.
   void Reset();
   void Close();
-  // From now on the kernel drops all that arrives, as on a connection that
-  // something in between has lost track of.
+  // Makes the kernel drop all incoming packets, as when a firewall between the
+  // two ends has lost the state of the connection.
   void GoSilent() const;
   int fd() const { return fd_; }
 
  private:
   bool ReadMore();
 
-  std::atomic<int> fd_;  // Also read by who wants to end the connection.
+  std::atomic<int> fd_;  // Atomic, as another thread may shut it down.
   std::string buffer_;
 };
 
--- a/tests/support/relay.cc
+++ b/tests/support/relay.cc
@@ -121,7 +121,7 @@
   std::array<char, kBufferSize> buffer{};
   const ssize_t size = recv(from, buffer.data(), buffer.size(), MSG_DONTWAIT);
   if (size < 0 && errno == EAGAIN)
-    return;  // The event was for an earlier connection of this number.
+    return;  // The event belongs to a closed connection with the same fd.
   if (size <= 0) {
     const bool reset = size < 0;
     loop_.Unwatch(from);
--- a/tests/support/relay.h
+++ b/tests/support/relay.h
@@ -1,5 +1,4 @@
-// A TCP relay that a test puts between two processes, to make the path between
-// them fail.
+// A TCP relay between two processes, by which a test injects network faults.
 #ifndef SUPPORT_RELAY_H_
 #define SUPPORT_RELAY_H_
 
@@ -18,27 +17,29 @@
 
 class Relay {
  public:
-  // Starts at once, on a thread of its own and a port given by the kernel.
+  // Starts at once, on its own thread and a port chosen by the kernel.
   explicit Relay(const base::SocketAddress& to);
   ~Relay();
   Relay(const Relay&) = delete;
   Relay& operator=(const Relay&) = delete;
 
   const base::SocketAddress& address() const { return socket_.address(); }
-  // Where later connections go.
+  // Sets the target of new connections.
   void SetTarget(const base::SocketAddress& to);
 
-  // Each of these is in force when it returns.
-  // Connections open now go silent for good; new ones work.
+  // Each of the following functions returns once its fault is in force.
+  // Stops forwarding on open connections for good, without closing them. New
+  // connections work.
   void SilenceOpenConnections();
-  // Connections open now are reset.
+  // Resets all open connections. New connections work.
   void ResetOpenConnections();
-  // Bytes towards the opener of a connection are swallowed, on open and new
-  // connections alike, so that answers are lost.
+  // Discards all bytes from the target to the client, on open and new
+  // connections.
   void DropAnswers(bool drop);
-  // Every part is handed on this much later.
+  // Forwards each chunk, and each close, with this delay.
   void SetDelay(std::chrono::milliseconds delay);
-  // Open connections are reset and new ones closed at once.
+  // Resets open connections and closes new ones at once, until called with
+  // false.
   void Cut(bool cut);
   size_t open_connections();
 
--- a/tests/support/small_fleet.h
+++ b/tests/support/small_fleet.h
@@ -12,20 +12,21 @@
 
 namespace chestnutport::test {
 
-// GET may be repeated; a deadline of 3 s.
+// GET requests are repeatable; the request deadline is 3 s.
 inline constexpr char kDossieDeclaration[] =
     "[service]\nname = dossie\n[match]\npath_prefix = /dossie/\n"
     "[requests]\nrepeatable = GET /dossie/\ndeadline = 3s\n";
 
 struct SmallFleet {
-  // Throws if the configuration does not come in force.
+  // Throws if the configuration is not in force on all nodes in time.
   explicit SmallFleet(const std::vector<std::string>& server_flags = {});
 
-  // Runs `load` while `fault` is done to the fleet, with at least `calls`
-  // requests before it and after it; what callers and servers say of it.
+  // Runs `load` and injects `fault` meanwhile. At least `calls` requests
+  // complete before the fault and after it; throws otherwise. Returns the audit
+  // of the callers' results against the servers' ledgers.
   Audit RunWithFault(const LoadOptions& load,
                      const std::function<void()>& fault);
-  // The same, of a fault that lasts until something has become of the load.
+  // Same, for a fault that waits for progress of the load.
   Audit RunWithFault(const LoadOptions& load,
                      const std::function<void(Load&)>& fault);
 
--- a/tests/support/wait.h
+++ b/tests/support/wait.h
@@ -1,4 +1,4 @@
-// Waiting for a condition, in place of a sleep.
+// Waits for a condition in place of a fixed sleep.
 #ifndef SUPPORT_WAIT_H_
 #define SUPPORT_WAIT_H_
 
@@ -7,7 +7,8 @@
 
 namespace chestnutport::test {
 
-// Tries until `condition` holds or `limit` has passed; whether it held.
+// Polls `condition` until it holds or `limit` has passed. Returns whether it
+// held.
 bool WaitUntil(const std::function<bool()>& condition,
                std::chrono::milliseconds limit = std::chrono::seconds(30));
 
