--- a/tests/standins/server_standin.cc
+++ b/tests/standins/server_standin.cc
@@ -75,23 +75,23 @@
       AnswerProbe(std::move(reply));
       return;
     }
-    if (trouble_.value("shed", false)) {
+    if (faults_.value("shed", false)) {
       ++shed_;
       reply.Send(
           {.status = 503,
            .headers = {{chestnutport::wire::kOutcomeHeader, "not-run"}}});
       return;
     }
-    waiting_.push_back({std::move(request), std::move(reply)});
-    RunWaiting();
+    queue_.push_back({std::move(request), std::move(reply)});
+    RunQueued();
   }
 
   // Says that it is well, whatever it does with requests, unless it is told to
   // lie.
   void AnswerProbe(net::Reply reply) {
-    const std::string health = trouble_.value("health", "well");
+    const std::string health = faults_.value("health", "well");
     if (health == "silent")
-      unanswered_.push_back(std::move(reply));
+      unanswered_probes_.push_back(std::move(reply));
     else if (health == "ill")
       reply.Send({.status = 503, .body = "{\"healthy\": false}"});
     else
@@ -99,14 +99,14 @@
   }
 
   void Announce(const base::SocketAddress& node, const std::string& address) {
-    const bool is_leaving = trouble_.value("draining", false);
+    const bool is_draining = faults_.value("draining", false);
     const json body = {{"service", absl::GetFlag(FLAGS_service)},
-                       {"draining", is_leaving},
+                       {"draining", is_draining},
                        {"address", address},
                        {"slots", absl::GetFlag(FLAGS_slots)},
                        {"health", "/health"},
                        {"instance", address}};
-    if (trouble_.value("announce", true) && !stopping_) {
+    if (faults_.value("announce", true) && !is_stopping_) {
       client_.Send(
           node, {.method = "POST", .target = "/v1/server", .body = body.dump()},
           kAnnounceTimeout, [](const net::TransferResult&) {});
@@ -116,7 +116,7 @@
   }
 
   void Stop() {
-    stopping_ = true;
+    is_stopping_ = true;
     StopIfIdle();
   }
 
@@ -129,8 +129,8 @@
   void OnCommand(const net::HttpRequest& request, net::Reply reply) {
     const json command = json::parse(request.body, nullptr, false);
     if (command.is_object())
-      trouble_.update(command);
-    const json counts = {{"running", running_ + waiting_.size()},
+      faults_.update(command);
+    const json counts = {{"running", running_ + queue_.size()},
                          {"started", started_},
                          {"finished", finished_},
                          {"shed", shed_},
@@ -138,10 +138,10 @@
     reply.Send({.body = counts.dump()});
   }
 
-  void RunWaiting() {
-    while (!waiting_.empty() && running_ < absl::GetFlag(FLAGS_slots)) {
-      auto work = std::make_shared<Work>(std::move(waiting_.front()));
-      waiting_.pop_front();
+  void RunQueued() {
+    while (!queue_.empty() && running_ < absl::GetFlag(FLAGS_slots)) {
+      auto work = std::make_shared<Work>(std::move(queue_.front()));
+      queue_.pop_front();
       Run(work);
     }
   }
@@ -156,30 +156,30 @@
     if (absl::GetFlag(FLAGS_run_twice))
       WriteLine("started ", id);
     const int bytes = QueryNumber(target, "bytes");
-    const auto end = [this, work, id, bytes] { End(*work, id, bytes); };
+    const auto end = [this, work, id, bytes] { Finish(*work, id, bytes); };
     const std::chrono::milliseconds time(QueryNumber(target, "ms") +
-                                         trouble_.value("straggle_ms", 0));
+                                         faults_.value("straggle_ms", 0));
     if (time.count() == 0)
       end();
     else
       loop_.CallAfter(time, end);
   }
 
-  void End(Work& work, const std::string& id, int bytes) {
+  void Finish(Work& work, const std::string& id, int bytes) {
     --running_;
     ++finished_;
     WriteLine("finished ", id);
-    const std::string mark = absl::GetFlag(FLAGS_mix_up) ? last_mark_ : id;
-    last_mark_ = id;
-    const bool fails = trouble_.value("fail", false);
+    const std::string answered_id = absl::GetFlag(FLAGS_mix_up) ? last_id_ : id;
+    last_id_ = id;
+    const bool fails = faults_.value("fail", false);
     work.reply.Send(
         {.status = fails ? 500 : 200,
          .headers = {{"X-Request-Id", id},
                      {"X-Server", absl::GetFlag(FLAGS_name)}},
-         .body = absl::StrCat("[", mark, "]",
+         .body = absl::StrCat("[", answered_id, "]",
                               std::string(static_cast<size_t>(bytes), '.'), "[",
-                              mark, "]")});
-    RunWaiting();
+                              answered_id, "]")});
+    RunQueued();
     StopIfIdle();
   }
 
@@ -191,23 +191,23 @@
 
   // The answer that was sent last still has to leave.
   void StopIfIdle() {
-    if (stopping_ && running_ == 0 && waiting_.empty())
+    if (is_stopping_ && running_ == 0 && queue_.empty())
       loop_.CallAfter(std::chrono::milliseconds(50), [this] { loop_.Stop(); });
   }
 
   net::EventLoop& loop_;
   net::HttpClient client_;
-  std::string last_mark_;  // The request answered last.
-  json trouble_ = json::object();
-  std::deque<Work> waiting_;
-  std::vector<net::Reply> unanswered_;  // Of health checks.
+  std::string last_id_;  // The request answered last.
+  json faults_ = json::object();
+  std::deque<Work> queue_;
+  std::vector<net::Reply> unanswered_probes_;  // Of health checks.
   int ledger_fd_ = -1;
   int running_ = 0;
   uint64_t started_ = 0;
   uint64_t finished_ = 0;
   uint64_t shed_ = 0;
   uint64_t probes_ = 0;
-  bool stopping_ = false;
+  bool is_stopping_ = false;
 };
 
 void StopOnSignal(net::EventLoop& loop, ServerStandin& standin) {
@@ -236,12 +236,13 @@
       });
   if (!server)
     return 1;
-  const std::string own = server.value()->address().ToString();
-  std::cout << "listening=" << own << std::endl;
+  const std::string listen_address = server.value()->address().ToString();
+  std::cout << "listening=" << listen_address << std::endl;
   const auto node = base::SocketAddress::Parse(absl::GetFlag(FLAGS_node));
-  const std::string other = absl::GetFlag(FLAGS_announce_as);
+  const std::string announced_address = absl::GetFlag(FLAGS_announce_as);
   if (node)
-    standin.Announce(*node, other.empty() ? own : other);
+    standin.Announce(
+        *node, announced_address.empty() ? listen_address : announced_address);
   StopOnSignal(loop, standin);
   loop.Run();
   return 0;
--- a/tests/standins/store_standin.cc
+++ b/tests/standins/store_standin.cc
@@ -33,7 +33,7 @@
 
 struct Lease {
   std::chrono::seconds time_to_live;
-  Instant ends;
+  Instant expires_at;
 };
 
 int64_t Number(const json& object, const char* name) {
@@ -46,7 +46,7 @@
   return found->get<int64_t>();
 }
 
-std::string Text(const json& object, const char* name) {
+std::string DecodedText(const json& object, const char* name) {
   std::string plain;
   absl::Base64Unescape(object.value(name, ""), &plain);
   return plain;
@@ -68,11 +68,11 @@
     const json answer = Serve(request.target, body);
     if (mode_ == "lose-answers" && request.target == "/v3/kv/txn")
       return;
-    auto held = std::make_shared<net::Reply>(std::move(reply));
-    const auto send = [held, answer] {
-      held->Send({.status = answer.is_null() ? 404 : 200,
-                  .headers = {{"Content-Type", "application/json"}},
-                  .body = answer.dump()});
+    auto pending_reply = std::make_shared<net::Reply>(std::move(reply));
+    const auto send = [pending_reply, answer] {
+      pending_reply->Send({.status = answer.is_null() ? 404 : 200,
+                           .headers = {{"Content-Type", "application/json"}},
+                           .body = answer.dump()});
     };
     if (delay_.count() > 0)
       loop_.CallAfter(delay_, send);
@@ -87,18 +87,18 @@
       delay_ = std::chrono::milliseconds(
           body.value("delay_ms", static_cast<int64_t>(delay_.count())));
       // As operators of the platform do; later revisions are forgotten.
-      const std::string copy = body.value("copy", "");
-      if (copy == "save")
-        copy_ = {entries_, revision_};
-      else if (copy == "restore")
-        std::tie(entries_, revision_) = copy_;
+      const std::string snapshot_command = body.value("copy", "");
+      if (snapshot_command == "save")
+        snapshot_ = {entries_, revision_};
+      else if (snapshot_command == "restore")
+        std::tie(entries_, revision_) = snapshot_;
     }
     const json state = {{"mode", mode_}, {"calls", calls_}};
     reply.Send({.body = state.dump()});
   }
 
   json Serve(const std::string& target, const json& body) {
-    EndLeases();
+    ExpireLeases();
     if (target == "/v3/kv/range")
       return Range(body);
     if (target == "/v3/kv/txn")
@@ -111,8 +111,8 @@
   }
 
   json Range(const json& body) const {
-    const std::string from = Text(body, "key");
-    const std::string to = Text(body, "range_end");
+    const std::string from = DecodedText(body, "key");
+    const std::string to = DecodedText(body, "range_end");
     json kvs = json::array();
     for (const auto& [key, entry] : entries_) {
       const bool inside = to.empty() ? key == from : key >= from && key < to;
@@ -128,23 +128,23 @@
   }
 
   json Transact(const json& body) {
-    bool holds = true;
+    bool is_satisfied = true;
     for (const json& compare : body.value("compare", json::array())) {
-      const auto found = entries_.find(Text(compare, "key"));
+      const auto found = entries_.find(DecodedText(compare, "key"));
       const int64_t now = found == entries_.end() ? 0 : found->second.revision;
-      holds = holds && now == Number(compare, "mod_revision");
+      is_satisfied = is_satisfied && now == Number(compare, "mod_revision");
     }
-    if (holds) {
+    if (is_satisfied) {
       for (const json& operation : body.value("success", json::array()))
         Put(operation.at("request_put"));
     }
     return {{"header", {{"revision", absl::StrCat(revision_)}}},
-            {"succeeded", holds}};
+            {"succeeded", is_satisfied}};
   }
 
   void Put(const json& put) {
-    entries_[Text(put, "key")] = {Text(put, "value"), ++revision_,
-                                  Number(put, "lease")};
+    entries_[DecodedText(put, "key")] = {DecodedText(put, "value"), ++revision_,
+                                         Number(put, "lease")};
   }
 
   json Grant(const json& body) {
@@ -160,14 +160,14 @@
     int64_t ttl = 0;
     if (found != leases_.end()) {
       ttl = found->second.time_to_live.count();
-      found->second.ends = loop_.now() + found->second.time_to_live;
+      found->second.expires_at = loop_.now() + found->second.time_to_live;
     }
     return {{"result", {{"ID", absl::StrCat(id)}, {"TTL", absl::StrCat(ttl)}}}};
   }
 
-  void EndLeases() {
+  void ExpireLeases() {
     std::erase_if(leases_, [this](const auto& item) {
-      return item.second.ends < loop_.now();
+      return item.second.expires_at < loop_.now();
     });
     std::erase_if(entries_, [this](const auto& item) {
       return item.second.lease != 0 && !leases_.contains(item.second.lease);
@@ -178,7 +178,7 @@
   std::map<std::string, Entry> entries_;
   std::map<int64_t, Lease> leases_;
   int64_t revision_ = 0;
-  std::pair<std::map<std::string, Entry>, int64_t> copy_;
+  std::pair<std::map<std::string, Entry>, int64_t> snapshot_;
   int64_t last_lease_ = 0;
   uint64_t calls_ = 0;
   std::string mode_ = "up";
