--- a/tests/demo/demo.cc
+++ b/tests/demo/demo.cc
@@ -26,7 +26,7 @@
 constexpr size_t kCallsBetweenUpgrades = 300;
 constexpr std::chrono::seconds kCommandLimit(20);
 
-void Say(const std::string& line) {
+void PrintLine(const std::string& line) {
   std::cout << line << std::endl;
 }
 
@@ -37,7 +37,7 @@
 
 // Runs the operators' command and returns what it prints.
 std::string RunCommand(const Vm& vm, std::vector<std::string> words) {
-  Say("  $ chestnutport " + words[0] + (words.size() > 1 ? " ..." : ""));
+  PrintLine("  $ chestnutport " + words[0] + (words.size() > 1 ? " ..." : ""));
   words.insert(words.begin(), "--node=" + vm.operator_address.ToString());
   Process command("chestnutport", words);
   const auto status = command.WaitForExit(kCommandLimit);
@@ -50,35 +50,35 @@
   fleet.AddVm("poa-a-2", "poa-a", "laudo");
   fleet.AddVm("poa-b-1", "poa-b", "dossie");
   fleet.AddVm("poa-b-2", "poa-b", "laudo");
-  Say("1. Four VMs in two data centres, each a node and a server:");
+  PrintLine("1. Four VMs in two data centres, each a node and a server:");
   for (const auto& vm : fleet.vms()) {
-    Say(absl::StrCat("  ", vm->name, " callers at ",
-                     vm->caller_address.ToString(), ", server of ",
-                     vm->service));
+    PrintLine(absl::StrCat("  ", vm->name, " callers at ",
+                           vm->caller_address.ToString(), ", server of ",
+                           vm->service));
   }
 }
 
 uint64_t PlanAndConfirm(const Fleet& fleet, const std::string& declarations) {
-  Say("2. An operator plans, reads the plan and confirms it:");
+  PrintLine("2. An operator plans, reads the plan and confirms it:");
   const Vm& vm = *fleet.vms().front();
   RunCommand(vm, {"check", declarations});
   const json plan =
       json::parse(RunCommand(vm, {"plan", declarations, "--output=json"}));
-  Say(absl::StrCat("  plan ", plan["plan"].get<std::string>(), " on revision ",
-                   plan["base_revision"].get<uint64_t>(), " with ",
-                   plan["changes"].size(), " changes"));
+  PrintLine(absl::StrCat("  plan ", plan["plan"].get<std::string>(),
+                         " on revision ", plan["base_revision"].get<uint64_t>(),
+                         " with ", plan["changes"].size(), " changes"));
   const std::string confirmed =
       RunCommand(vm, {"confirm", plan["plan"].get<std::string>(), declarations,
                       "--output=json"});
   const auto revision = json::parse(confirmed).value("revision", uint64_t{0});
   Require(fleet.WaitAllReady(kServers, revision),
           "the configuration did not reach every node");
-  Say(absl::StrCat("  revision ", revision, " is in force on all nodes"));
+  PrintLine(absl::StrCat("  revision ", revision, " is in force on all nodes"));
   return revision;
 }
 
 void CallEachNode(const Fleet& fleet) {
-  Say("3. Requests through each node:");
+  PrintLine("3. Requests through each node:");
   for (const auto& vm : fleet.vms()) {
     for (const std::string service : {"dossie", "laudo"}) {
       const std::string id = absl::StrCat("first-", vm->name, "-", service);
@@ -87,8 +87,8 @@
       const std::string server(
           chestnutport::net::FindHeader(answer.headers, "X-Server"));
       Require(answer.status == 200, id + " was not answered");
-      Say(absl::StrCat("  GET /", service, "/1 through ", vm->name,
-                       " answered by ", server));
+      PrintLine(absl::StrCat("  GET /", service, "/1 through ", vm->name,
+                             " answered by ", server));
     }
   }
 }
@@ -102,20 +102,21 @@
             vm->name + " did not come back everywhere");
     for (Load* load : loads)
       Require(load->WaitForMore(kCallsBetweenUpgrades), "traffic stands still");
-    Say(absl::StrCat("  ", vm->name,
+    PrintLine(
+        absl::StrCat("  ", vm->name,
                      ": drained, emptied, stopped, started anew, announced"));
   }
 }
 
-void Judge(const std::string& service, const Audit& audit) {
-  Say(absl::StrCat("  ", service, ": ", audit.ToString()));
+void RequireNoViolations(const std::string& service, const Audit& audit) {
+  PrintLine(absl::StrCat("  ", service, ": ", audit.ToString()));
   Require(audit.violations() == 0, "a promise was broken");
   Require(audit.cut() == 0, "requests were cut");
   Require(audit.answered > 0, "nothing was answered");
 }
 
 void UpgradeUnderTraffic(Fleet& fleet, uint64_t revision) {
-  Say("4. A rolling upgrade of every server, under traffic:");
+  PrintLine("4. A rolling upgrade of every server, under traffic:");
   Load dossie({.prefix = "dossie", .path = "/dossie/", .callers = 8},
               fleet.CallerAddresses());
   Load laudo({.prefix = "laudo", .path = "/laudo/", .callers = 8},
@@ -123,9 +124,10 @@
   ReplaceAll(fleet, revision, {&dossie, &laudo});
   const auto dossie_records = dossie.Stop();
   const auto laudo_records = laudo.Stop();
-  Say("5. What callers were told, compared with what servers wrote down:");
-  Judge("dossie", Audit::Make(dossie_records, fleet.Ledger()));
-  Judge("laudo", Audit::Make(laudo_records, fleet.Ledger()));
+  PrintLine(
+      "5. What callers were told, compared with what servers wrote down:");
+  RequireNoViolations("dossie", Audit::Make(dossie_records, fleet.Ledger()));
+  RequireNoViolations("laudo", Audit::Make(laudo_records, fleet.Ledger()));
 }
 
 }  // namespace
@@ -146,6 +148,6 @@
     std::cout << "FAILED: " << error.what() << std::endl;
     return 1;
   }
-  Say("All steps done: 0 requests cut, 0 run twice.");
+  PrintLine("All steps done: 0 requests cut, 0 run twice.");
   return 0;
 }
--- a/tests/demo/soak.cc
+++ b/tests/demo/soak.cc
@@ -24,7 +24,7 @@
   std::function<void(test::Fleet&, test::Vm&)> end;
 };
 
-void StopInOrder(test::Vm& vm) {
+void StopGracefully(test::Vm& vm) {
   vm.node->Signal(SIGTERM);
 }
 
@@ -35,7 +35,7 @@
       {"node killed", nullptr,
        [](test::Fleet& fleet, test::Vm& vm) { fleet.StartNode(vm); }},
       {"node stopped in order and started anew",
-       [](test::Fleet&, test::Vm& vm) { StopInOrder(vm); },
+       [](test::Fleet&, test::Vm& vm) { StopGracefully(vm); },
        [](test::Fleet& fleet, test::Vm& vm) {
          vm.node->WaitForExit(std::chrono::seconds(40));
          fleet.StartNode(vm);
@@ -90,40 +90,40 @@
 }
 
 // A beginning or an end of a fault, at its time in the round.
-struct Step {
+struct FaultEvent {
   milliseconds at;
   std::string what;
   std::function<void()> run;
 };
 
-void AddSteps(test::SmallFleet& small,
+void AddFault(test::SmallFleet& small,
               chestnutport::base::Random& random,
-              std::vector<Step>& steps) {
+              std::vector<FaultEvent>& events) {
   const Fault& fault = AllFaults()[random() % AllFaults().size()];
   const auto& vms = small.fleet.vms();
   test::Vm& vm = *vms[random() % vms.size()];
-  const milliseconds begins(random() % 1500);
-  const milliseconds lasts(200 + random() % 3300);
+  const milliseconds start(random() % 1500);
+  const milliseconds duration(200 + random() % 3300);
   const std::string name = std::string(fault.name) + ": " + vm.name;
   const auto add = [&](milliseconds at, const std::string& what,
                        const auto& action) {
     if (action)
-      steps.push_back(
+      events.push_back(
           {at, what, [&small, &vm, action] { action(small.fleet, vm); }});
   };
-  add(begins, name + " begins", fault.begin);
-  add(begins + lasts, name + " ends", fault.end);
+  add(start, name + " begins", fault.begin);
+  add(start + duration, name + " ends", fault.end);
 }
 
 // What a fault ends may have been killed by another meanwhile: signals to a
 // process that is gone do nothing, and each end starts what is not there.
-void RunSteps(std::vector<Step> steps) {
-  std::ranges::stable_sort(steps, {}, &Step::at);
+void RunEvents(std::vector<FaultEvent> events) {
+  std::ranges::stable_sort(events, {}, &FaultEvent::at);
   const auto start = std::chrono::steady_clock::now();
-  for (const Step& step : steps) {
-    std::this_thread::sleep_until(start + step.at);
-    std::cout << "  " << step.at.count() << " ms " << step.what << std::endl;
-    step.run();
+  for (const FaultEvent& event : events) {
+    std::this_thread::sleep_until(start + event.at);
+    std::cout << "  " << event.at.count() << " ms " << event.what << std::endl;
+    event.run();
   }
 }
 
@@ -132,14 +132,14 @@
 test::Audit RunRound(test::SmallFleet& small,
                      chestnutport::base::Random& random,
                      uint64_t round) {
-  std::vector<Step> steps;
+  std::vector<FaultEvent> events;
   const size_t count = 1 + random() % 3;
   for (size_t i = 0; i < count; ++i)
-    AddSteps(small, random, steps);
+    AddFault(small, random, events);
   test::LoadOptions load;
   load.prefix = "round" + std::to_string(round);
   load.seed = random();
-  return small.RunWithFault(load, [&] { RunSteps(steps); });
+  return small.RunWithFault(load, [&] { RunEvents(events); });
 }
 
 }  // namespace
@@ -159,12 +159,12 @@
   size_t violations = 0;
   const auto end =
       std::chrono::steady_clock::now() + std::chrono::minutes(amount);
-  const auto goes_on = [&](uint64_t round) {
+  const auto has_next_round = [&](uint64_t round) {
     return unit == "rounds" ? round <= static_cast<uint64_t>(amount)
                             : std::chrono::steady_clock::now() < end;
   };
   test::SmallFleet small;
-  for (uint64_t round = 1; goes_on(round); ++round) {
+  for (uint64_t round = 1; has_next_round(round); ++round) {
     const test::Audit audit = RunRound(small, random, round);
     violations += audit.violations();
     std::cout << "round " << round << ": " << audit.ToString() << std::endl;
