--- a/tests/standins/server_standin.cc
+++ b/tests/standins/server_standin.cc
@@ -1,10 +1,13 @@
-// Stands in for a backend server. Runs a request for as long as the query
-// says (?ms=20), in as many slots as it has, answers with `bytes` of filling
-// between two marks of the request's X-Request-Id, and appends "started ID" and
-// "finished ID" to its ledger. Announces itself to its own node. SIGTERM lets
-// what runs finish. Troubles are switched on by POST /standin with
-// {"straggle_ms": N, "shed": BOOL, "fail": BOOL, "announce": BOOL}; the answer
-// to it, and to GET, are the counts.
+// A test double of a backend server. Runs up to `slots` requests at a time,
+// each for the duration given by the query (?ms=20), and queues the others.
+// Answers with `bytes` of padding between two copies of the request's
+// X-Request-Id, and appends "started ID" and "finished ID" to its ledger.
+// Announces itself to its own node. On SIGTERM it finishes the requests in
+// flight, then exits.
+//
+// POST /standin switches faults on and off: {"straggle_ms": N, "shed": BOOL,
+// "fail": BOOL, "announce": BOOL, "draining": BOOL,
+// "health": "well" | "ill" | "silent"}. It returns the counters, as does GET.
 #include <fcntl.h>
 #include <sys/epoll.h>
 #include <sys/signalfd.h>
@@ -27,14 +30,26 @@
 #include "wire/header_names.h"
 
 ABSL_FLAG(std::string, listen, "127.0.0.1:0", "Address to listen on.");
-ABSL_FLAG(std::string, node, "", "The own node's address for announcements.");
+ABSL_FLAG(std::string,
+          node,
+          "",
+          "Announcement address of the node on the same VM.");
 ABSL_FLAG(std::string, service, "", "Service to announce.");
-ABSL_FLAG(std::string, name, "server", "Name shown in answers.");
-ABSL_FLAG(std::string, announce_as, "", "Address to announce, if another.");
+ABSL_FLAG(std::string, name, "server", "Name sent in the X-Server header.");
+ABSL_FLAG(std::string,
+          announce_as,
+          "",
+          "Address to announce, if not the listening one.");
 ABSL_FLAG(std::string, ledger, "", "File to append executions to.");
-ABSL_FLAG(bool, run_twice, false, "Broken on purpose: runs requests twice.");
-ABSL_FLAG(bool, mix_up, false, "Broken on purpose: answers for another.");
-ABSL_FLAG(int, slots, 12, "Requests run at a time.");
+ABSL_FLAG(bool,
+          run_twice,
+          false,
+          "Injected fault: records each request as started twice.");
+ABSL_FLAG(bool,
+          mix_up,
+          false,
+          "Injected fault: answers with the id of another request.");
+ABSL_FLAG(int, slots, 12, "Maximum number of concurrent requests.");
 
 namespace {
 
@@ -71,7 +86,7 @@
       return;
     }
     if (net::FindHeader(request.headers, "X-Request-Id").empty()) {
-      ++probes_;  // Nobody else asks without an id.
+      ++probes_;  // Only health probes have no request id.
       AnswerProbe(std::move(reply));
       return;
     }
@@ -86,8 +101,8 @@
     RunQueued();
   }
 
-  // Says that it is well, whatever it does with requests, unless it is told to
-  // lie.
+  // Reports healthy unless the "health" fault is set, independently of how
+  // requests are answered.
   void AnswerProbe(net::Reply reply) {
     const std::string health = faults_.value("health", "well");
     if (health == "silent")
@@ -189,7 +204,7 @@
       std::cerr << "ledger not written" << std::endl;
   }
 
-  // The answer that was sent last still has to leave.
+  // Stops after a delay, so that the last answer can still be written.
   void StopIfIdle() {
     if (is_stopping_ && running_ == 0 && queue_.empty())
       loop_.CallAfter(std::chrono::milliseconds(50), [this] { loop_.Stop(); });
@@ -197,10 +212,11 @@
 
   net::EventLoop& loop_;
   net::HttpClient client_;
-  std::string last_id_;  // The request answered last.
+  std::string last_id_;  // Id of the request answered last.
   json faults_ = json::object();
   std::deque<Work> queue_;
-  std::vector<net::Reply> unanswered_probes_;  // Of health checks.
+  std::vector<net::Reply>
+      unanswered_probes_;  // Kept, so that the connections stay open.
   int ledger_fd_ = -1;
   int running_ = 0;
   uint64_t started_ = 0;
--- a/tests/standins/store_standin.cc
+++ b/tests/standins/store_standin.cc
@@ -1,6 +1,7 @@
-// Stands in for the platform's key-value service: a part of the etcd v3
-// protocol's JSON form, in memory. Troubles are switched on by POST /standin
-// with {"mode": "up" | "down" | "lose-answers", "delay_ms": N}.
+// A test double of the platform's key-value store: an in-memory subset of the
+// etcd v3 JSON protocol. POST /standin switches faults with
+// {"mode": "up" | "down" | "lose-answers", "delay_ms": N}, and saves or
+// restores a snapshot with {"copy": "save" | "restore"}.
 #include <chrono>
 #include <iostream>
 #include <map>
@@ -64,7 +65,7 @@
     }
     ++calls_;
     if (mode_ == "down")
-      return;  // The reply is dropped: the connection is cut.
+      return;  // Destroying the reply closes the connection.
     const json answer = Serve(request.target, body);
     if (mode_ == "lose-answers" && request.target == "/v3/kv/txn")
       return;
@@ -86,7 +87,8 @@
       mode_ = body.value("mode", mode_);
       delay_ = std::chrono::milliseconds(
           body.value("delay_ms", static_cast<int64_t>(delay_.count())));
-      // As operators of the platform do; later revisions are forgotten.
+      // As when operators of the platform restore a backup: the revision
+      // counter goes back as well.
       const std::string snapshot_command = body.value("copy", "");
       if (snapshot_command == "save")
         snapshot_ = {entries_, revision_};
