--- a/tests/demo/demo.cc
+++ b/tests/demo/demo.cc
@@ -1,8 +1,8 @@
-// Runs the main job on stand-ins, in steps that a reader can follow: four VMs
-// in two data centres, two services, plan and confirm, requests through each
-// node, and a rolling upgrade of every server under traffic. Ends non-zero at
-// the first step that fails. Called by scripts/demo with the folder of the
-// declarations.
+// Demonstrates the main workflow on test doubles: starts four VMs in two data
+// centres with two services, plans and confirms a configuration, sends requests
+// through each node, and performs a rolling upgrade of every server under load.
+// Exits non-zero at the first failed step. scripts/demo runs it with the folder
+// of the declarations.
 #include <cstdlib>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -35,7 +35,8 @@
     throw std::runtime_error(what);
 }
 
-// Runs the operators' command and returns what it prints.
+// Runs the operators' command line tool and returns its output. Throws if it
+// fails.
 std::string RunCommand(const Vm& vm, std::vector<std::string> words) {
   PrintLine("  $ chestnutport " + words[0] + (words.size() > 1 ? " ..." : ""));
   words.insert(words.begin(), "--node=" + vm.operator_address.ToString());
--- a/tests/demo/soak.cc
+++ b/tests/demo/soak.cc
@@ -1,6 +1,6 @@
-// Mixed faults by seed over a small fleet, for as long as asked. Prints the
-// seed, each fault and the counts; ends non-zero on a violation. Called by
-// scripts/soak.
+// Soak test: injects seeded random faults into a small fleet for a given time
+// or number of rounds. Prints the seed, each fault and the counts; exits
+// non-zero on a violation. Run by scripts/soak.
 #include <algorithm>
 #include <csignal>
 #include <functional>
@@ -17,7 +17,8 @@
 namespace test = chestnutport::test;
 using std::chrono::milliseconds;
 
-// Something that goes wrong, and what sets it right again; either may be empty.
+// A fault: the action that starts it and the one that ends it. Either may be
+// empty.
 struct Fault {
   const char* name;
   std::function<void(test::Fleet&, test::Vm&)> begin;
@@ -89,7 +90,7 @@
   return faults;
 }
 
-// A beginning or an end of a fault, at its time in the round.
+// The start or end of a fault, at its offset from the start of the round.
 struct FaultEvent {
   milliseconds at;
   std::string what;
@@ -115,8 +116,9 @@
   add(start + duration, name + " ends", fault.end);
 }
 
-// What a fault ends may have been killed by another meanwhile: signals to a
-// process that is gone do nothing, and each end starts what is not there.
+// Overlapping faults may stop the same process. A signal to an exited process
+// has no effect, and the `end` action of a kill restarts the process in any
+// case.
 void RunEvents(std::vector<FaultEvent> events) {
   std::ranges::stable_sort(events, {}, &FaultEvent::at);
   const auto start = std::chrono::steady_clock::now();
@@ -127,8 +129,8 @@
   }
 }
 
-// One round: a load, and one to three faults on VMs drawn by the seed, which
-// overlap as it happens.
+// Runs one round: a load, and one to three random faults on random VMs, which
+// may overlap.
 test::Audit RunRound(test::SmallFleet& small,
                      chestnutport::base::Random& random,
                      uint64_t round) {
