--- a/tests/auto/docs/layers_test.cc
+++ b/tests/auto/docs/layers_test.cc
@@ -12,7 +12,7 @@
 
 constexpr char kLibraries[] = "src/libs";
 // Beyond this, a library has more than one job.
-constexpr ptrdiff_t kMostLines = 3000;
+constexpr ptrdiff_t kMaxLines = 3000;
 
 // From the lowest to the highest.
 std::vector<std::string> Libraries() {
@@ -20,7 +20,7 @@
                  R"(add_subdirectory\((\w+)\))");
 }
 
-std::vector<std::filesystem::path> SourcesOf(const std::string& library) {
+std::vector<std::filesystem::path> SourceFiles(const std::string& library) {
   return FilesBelow(std::string(kLibraries) + "/" + library, {".h", ".cc"});
 }
 
@@ -29,7 +29,7 @@
   REQUIRE(libraries.size() > 10);
   for (auto library = libraries.begin(); library != libraries.end();
        ++library) {
-    for (const auto& file : SourcesOf(*library)) {
+    for (const auto& file : SourceFiles(*library)) {
       for (const std::string& included :
            Matches(ReadFile(file), "#include \"(\\w+)/")) {
         INFO(file.string() << " includes a file of " << included);
@@ -44,26 +44,26 @@
 TEST_CASE("no library is so large that it has more than one job") {
   for (const std::string& library : Libraries()) {
     ptrdiff_t lines = 0;
-    for (const auto& file : SourcesOf(library))
+    for (const auto& file : SourceFiles(library))
       lines += std::ranges::count(ReadFile(file), '\n');
     INFO(library);
     CHECK(lines > 0);
-    CHECK(lines <= kMostLines);
+    CHECK(lines <= kMaxLines);
   }
 }
 
 TEST_CASE("each source file that a page names exists") {
-  size_t named = 0;
+  size_t references = 0;
   for (const auto& page : Pages()) {
     for (const std::string& name : Matches(
              ReadFile(page), "`([a-z_]+(?:/[a-z_]+)+\\.(?:cc|h|ini|toml))`")) {
       INFO(page.string() << " names " << name);
       CHECK((std::filesystem::exists(SourceFolder() / name) ||
              std::filesystem::exists(SourceFolder() / kLibraries / name)));
-      ++named;
+      ++references;
     }
   }
-  CHECK(named > 10);
+  CHECK(references > 10);
 }
 
 }  // namespace
--- a/tests/auto/docs/source_tree.cc
+++ b/tests/auto/docs/source_tree.cc
@@ -21,11 +21,11 @@
 
 std::vector<std::filesystem::path> FilesBelow(
     const std::string& folder,
-    const std::vector<std::string>& endings) {
+    const std::vector<std::string>& extensions) {
   std::vector<std::filesystem::path> files;
   for (const auto& entry :
        std::filesystem::recursive_directory_iterator(SourceFolder() / folder)) {
-    if (std::ranges::count(endings, entry.path().extension().string()) > 0)
+    if (std::ranges::count(extensions, entry.path().extension().string()) > 0)
       files.push_back(entry.path());
   }
   std::ranges::sort(files);
--- a/tests/auto/docs/source_tree.h
+++ b/tests/auto/docs/source_tree.h
@@ -16,7 +16,7 @@
 // All files below `folder` whose names end with one of `endings`.
 std::vector<std::filesystem::path> FilesBelow(
     const std::string& folder,
-    const std::vector<std::string>& endings);
+    const std::vector<std::string>& extensions);
 
 // README.md, CONTRIBUTING.md, and all pages below docs.
 std::vector<std::filesystem::path> Pages();
--- a/tests/auto/docs/tables_test.cc
+++ b/tests/auto/docs/tables_test.cc
@@ -14,8 +14,8 @@
 namespace chestnutport::test {
 namespace {
 
-constexpr char kBegin[] = "<!-- table begins -->\n";
-constexpr char kEnd[] = "<!-- table ends -->\n";
+constexpr char kTableBegin[] = "<!-- table begins -->\n";
+constexpr char kTableEnd[] = "<!-- table ends -->\n";
 
 std::string EventRows() {
   std::ostringstream rows;
@@ -58,11 +58,11 @@
 void CheckTable(const std::string& page, const std::string& rows) {
   const auto path = SourceFolder() / "docs" / page;
   const std::string text = ReadFile(path);
-  const size_t begin = text.find(kBegin);
-  const size_t end = text.find(kEnd);
+  const size_t begin = text.find(kTableBegin);
+  const size_t end = text.find(kTableEnd);
   REQUIRE(begin != std::string::npos);
   REQUIRE(end != std::string::npos);
-  const size_t first = begin + sizeof(kBegin) - 1;
+  const size_t first = begin + sizeof(kTableBegin) - 1;
   if (std::getenv("CHESTNUTPORT_WRITE_DOCS")) {
     std::ofstream(path) << text.substr(0, first) << rows << text.substr(end);
     return;
--- a/tests/auto/examples/proof_page_test.cc
+++ b/tests/auto/examples/proof_page_test.cc
@@ -18,20 +18,21 @@
 // How the source names a section or a test case of that text; the formatter
 // begins long names on a line of their own, and breaks them over two literals.
 bool HasTest(const std::string& source, const std::string& name) {
-  std::string joined = std::regex_replace(source, std::regex("\"\\s*\""), "");
-  joined = std::regex_replace(joined, std::regex("\\(\\s*\""), "(\"");
+  std::string normalised =
+      std::regex_replace(source, std::regex("\"\\s*\""), "");
+  normalised = std::regex_replace(normalised, std::regex("\\(\\s*\""), "(\"");
   std::string wanted = "(\"";
   wanted.append(name).append("\"");
-  return joined.find(wanted) != std::string::npos;
+  return normalised.find(wanted) != std::string::npos;
 }
 
 TEST_CASE("docs/PROOF.md names only tests that exist") {
   const std::string root = std::getenv("CHESTNUTPORT_SOURCE");
   const std::string page = ReadFile(root + "/docs/PROOF.md");
-  const std::regex named("`([a-z_]+_test): ([^`]+)`");
+  const std::regex reference("`([a-z_]+_test): ([^`]+)`");
   int count = 0;
-  for (std::sregex_iterator it(page.begin(), page.end(), named), end; it != end;
-       ++it, ++count) {
+  for (std::sregex_iterator it(page.begin(), page.end(), reference), end;
+       it != end; ++it, ++count) {
     const std::string file = (*it)[1];
     const std::string name = (*it)[2];
     INFO(file << ": " << name);
