--- a/tests/auto/docs/commands_test.cc
+++ b/tests/auto/docs/commands_test.cc
@@ -1,4 +1,4 @@
-// The command lines in the pages are those of the program.
+// Checks that the documentation shows only commands that the program has.
 #include <catch2/catch.hpp>
 #include <set>
 
--- a/tests/auto/docs/layers_test.cc
+++ b/tests/auto/docs/layers_test.cc
@@ -1,5 +1,5 @@
-// The libraries of src/libs: their order, their size, and the files that the
-// pages name.
+// Checks the layering and size of the libraries in src/libs, and that the
+// source files named in the documentation exist.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <string>
@@ -11,10 +11,10 @@
 namespace {
 
 constexpr char kLibraries[] = "src/libs";
-// Beyond this, a library has more than one job.
+// A larger library is assumed to have more than one responsibility.
 constexpr ptrdiff_t kMaxLines = 3000;
 
-// From the lowest to the highest.
+// Returns the libraries from the lowest to the highest layer.
 std::vector<std::string> Libraries() {
   return Matches(ReadFile(SourceFolder() / kLibraries / "CMakeLists.txt"),
                  R"(add_subdirectory\((\w+)\))");
@@ -41,7 +41,7 @@
   }
 }
 
-TEST_CASE("no library is so large that it has more than one job") {
+TEST_CASE("no library exceeds the limit of lines") {
   for (const std::string& library : Libraries()) {
     ptrdiff_t lines = 0;
     for (const auto& file : SourceFiles(library))
--- a/tests/auto/docs/links_test.cc
+++ b/tests/auto/docs/links_test.cc
@@ -1,4 +1,5 @@
-// Each link in the pages points to a file.
+// Checks that each relative link in the documentation points to an existing
+// file.
 #include <catch2/catch.hpp>
 
 #include "source_tree.h"
--- a/tests/auto/docs/names_test.cc
+++ b/tests/auto/docs/names_test.cc
@@ -1,5 +1,5 @@
-// Events and headers in the pages exist, and the code keeps to the words of the
-// glossary.
+// Checks that events named in the documentation exist, that each header is
+// documented, and that the code follows the glossary.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cctype>
@@ -37,7 +37,7 @@
 
 TEST_CASE("the code uses the words VM, data centre, caller and server") {
   for (const auto& file : FilesBelow("src", {".h", ".cc"})) {
-    // Names of libraries, which the project has no say in.
+    // Identifiers of third-party libraries are exempt.
     std::string text = std::regex_replace(
         ReadFile(file), std::regex("UTCTimeZone|text_ostream_backend"), "");
     std::ranges::transform(text, text.begin(), [](unsigned char c) {
--- a/tests/auto/docs/operations_test.cc
+++ b/tests/auto/docs/operations_test.cc
@@ -1,5 +1,5 @@
-// The commands of the operations page, over the lines that lie beside it, say
-// what the page says.
+// Checks that the `explain` commands on the operations page, run on its sample
+// log, give the causes that the page shows.
 #include <catch2/catch.hpp>
 #include <fstream>
 #include <regex>
--- a/tests/auto/docs/source_tree.h
+++ b/tests/auto/docs/source_tree.h
@@ -1,4 +1,4 @@
-// The files of the repository, for tests of the pages.
+// Access to the files of the repository, for tests of the documentation.
 #ifndef DOCS_SOURCE_TREE_H_
 #define DOCS_SOURCE_TREE_H_
 
@@ -8,20 +8,20 @@
 
 namespace chestnutport::test {
 
-// The folder named by CHESTNUTPORT_SOURCE.
+// Returns the folder named by CHESTNUTPORT_SOURCE, or "." if it is not set.
 std::filesystem::path SourceFolder();
 
 std::string ReadFile(const std::filesystem::path& path);
 
-// All files below `folder` whose names end with one of `endings`.
+// Returns all files below `folder` that have one of `extensions`, sorted.
 std::vector<std::filesystem::path> FilesBelow(
     const std::string& folder,
     const std::vector<std::string>& extensions);
 
-// README.md, CONTRIBUTING.md, and all pages below docs.
+// Returns README.md, CONTRIBUTING.md and all Markdown files below docs.
 std::vector<std::filesystem::path> Pages();
 
-// What `pattern` matches in `text`: the first group, each time.
+// Returns the first group of each match of `pattern` in `text`.
 std::vector<std::string> Matches(const std::string& text,
                                  const std::string& pattern);
 
--- a/tests/auto/docs/tables_test.cc
+++ b/tests/auto/docs/tables_test.cc
@@ -1,5 +1,5 @@
-// The tables in the pages equal those in the code. With CHESTNUTPORT_WRITE_DOCS
-// set, the test writes them anew first.
+// Checks that the tables in the documentation match those in the code. If
+// CHESTNUTPORT_WRITE_DOCS is set, the test rewrites them instead.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <fstream>
@@ -70,7 +70,7 @@
   CHECK(text.substr(first, end - first) == rows);
 }
 
-TEST_CASE("the pages hold the tables of the code") {
+TEST_CASE("the tables in the pages match the code") {
   CheckTable("EVENTS.md", EventRows());
   CheckTable("ERRORS.md", ErrorRows());
   CheckTable("METRICS.md", MetricRows());
--- a/tests/auto/examples/examples_test.cc
+++ b/tests/auto/examples/examples_test.cc
@@ -1,4 +1,5 @@
-// The declarations shown to operators are valid, and the demo uses them.
+// Checks that the sample declarations in docs/examples, which the demo uses,
+// are valid.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <filesystem>
@@ -20,7 +21,7 @@
     CHECK(status == 0);
   }
 
-  SECTION("are needed: a folder with a fault is refused") {
+  SECTION("are checked: an invalid declaration is refused") {
     const std::string folder = std::string(std::getenv("CHESTNUTPORT_BIN")) +
                                "/../faulty-declarations";
     std::filesystem::create_directories(folder);
--- a/tests/auto/examples/proof_page_test.cc
+++ b/tests/auto/examples/proof_page_test.cc
@@ -1,4 +1,4 @@
-// docs/PROOF.md names only tests that exist.
+// Checks that the tests named in docs/PROOF.md exist.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <fstream>
@@ -15,8 +15,9 @@
   return text.str();
 }
 
-// How the source names a section or a test case of that text; the formatter
-// begins long names on a line of their own, and breaks them over two literals.
+// Returns whether `source` has a section or test case of this name. The
+// formatter may put a long name on its own line and split it into several
+// literals.
 bool HasTest(const std::string& source, const std::string& name) {
   std::string normalised =
       std::regex_replace(source, std::regex("\"\\s*\""), "");
