--- a/tests/auto/input/bad_input_test.cc
+++ b/tests/auto/input/bad_input_test.cc
@@ -13,7 +13,7 @@
 
 constexpr char kDossie[] =
     "[service]\nname = dossie\n[match]\npath_prefix = /dossie/\n";
-constexpr char kGood[] =
+constexpr char kValidRequest[] =
     "GET /dossie/1 HTTP/1.1\r\nHost: x\r\nX-Request-Id: good\r\n\r\n";
 
 std::string Send(const base::SocketAddress& to, const std::string& bytes) {
@@ -26,7 +26,7 @@
   return *base::SocketAddress::Parse(vm.node->WaitForField(field));
 }
 
-bool Has(const std::string& answer, const std::string& text) {
+bool Contains(const std::string& answer, const std::string& text) {
   return answer.find(text) != std::string::npos;
 }
 
@@ -62,8 +62,8 @@
     for (const Row& row : rows) {
       const std::string answer = Send(vm.caller_address, row.head);
       INFO(row.head.substr(0, 100) << " -> " << answer);
-      CHECK(Has(answer, "Chestnutport-Outcome: not-run\r\n"));
-      CHECK(Has(answer, "Chestnutport-Error: " + row.error));
+      CHECK(Contains(answer, "Chestnutport-Outcome: not-run\r\n"));
+      CHECK(Contains(answer, "Chestnutport-Error: " + row.error));
     }
   }
 
@@ -75,7 +75,7 @@
         "Chestnutport-Deadline: 1s\r\nChestnutport-Service: dossie\r\n"
         "Chestnutport-Signature: 00\r\n\r\n";
     for (const char* listener : {"peer", "control", "operator"}) {
-      for (const std::string& bytes : {forged, std::string(kGood)}) {
+      for (const std::string& bytes : {forged, std::string(kValidRequest)}) {
         const std::string answer = Send(AddressOf(vm, listener), bytes);
         INFO(listener << ": " << answer);
         CHECK(answer.starts_with("HTTP/1.1 4"));
@@ -84,7 +84,7 @@
   }
 
   SECTION("nonsense at any listener ends in an error or a closed connection") {
-    const std::vector<std::string> nonsense = {
+    const std::vector<std::string> malformed = {
         std::string("\0\xff\x16\x03\x01\r\n\r\n", 9), "GET\r\n\r\n",
         "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: "
         "chunked\r\n\r\nzz\r\n",
@@ -92,7 +92,7 @@
         "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\n{}{}{"};
     for (const char* listener :
          {"caller", "peer", "control", "operator", "server"}) {
-      for (const std::string& bytes : nonsense) {
+      for (const std::string& bytes : malformed) {
         RawSocket socket(AddressOf(vm, listener));
         socket.Send(bytes);
         socket.CloseWriting();
@@ -105,17 +105,17 @@
   }
 
   SECTION("a flood of half-open callers delays others, but not for ever") {
-    constexpr size_t kFlood = 1500;
-    std::vector<RawSocket> flood;
-    flood.reserve(kFlood);
-    for (size_t i = 0; i < kFlood; ++i) {
-      flood.emplace_back(vm.caller_address);
-      flood.back().Send("GET /dossie/1 HT");
+    constexpr size_t kConnections = 1500;
+    std::vector<RawSocket> connections;
+    connections.reserve(kConnections);
+    for (size_t i = 0; i < kConnections; ++i) {
+      connections.emplace_back(vm.caller_address);
+      connections.back().Send("GET /dossie/1 HT");
     }
-    flood.clear();
+    connections.clear();
   }
 
-  const std::string answer = Send(vm.caller_address, kGood);
+  const std::string answer = Send(vm.caller_address, kValidRequest);
   INFO(answer);
   CHECK(answer.starts_with("HTTP/1.1 200 OK"));
   CHECK_FALSE(vm.node->WaitForExit(std::chrono::seconds(0)));
--- a/tests/auto/input/large_answer_test.cc
+++ b/tests/auto/input/large_answer_test.cc
@@ -18,10 +18,11 @@
     "[requests]\nrepeatable = GET /dossie/\n";
 constexpr char kHealthy[] =
     "HTTP/1.1 200 OK\r\nContent-Length: 17\r\n\r\n{\"healthy\": true}";
-constexpr size_t kPart = 64 * 1024;
-constexpr size_t kParts = 1024;
-constexpr size_t kSize = kPart * kParts;
-constexpr size_t kLargestGrowth = 4 * 1024;  // Kilobytes of resident memory.
+constexpr size_t kPartSize = 64 * 1024;
+constexpr size_t kPartCount = 1024;
+constexpr size_t kBodySize = kPartSize * kPartCount;
+constexpr size_t kMaxGrowthKilobytes =
+    4 * 1024;  // Kilobytes of resident memory.
 
 size_t ResidentKilobytes(const Process& process) {
   std::ifstream file("/proc/" + std::to_string(process.pid()) + "/status");
@@ -36,18 +37,20 @@
 
 // Sends parts until all are sent, the other end has closed, or half of them if
 // `cut`.
-void SendParts(RawSocket& connection, bool cut, std::atomic<size_t>& sent) {
-  const std::string part(kPart, 'x');
-  for (size_t i = 0; i < (cut ? kParts / 2 : kParts); ++i) {
+void SendParts(RawSocket& connection,
+               bool truncate,
+               std::atomic<size_t>& sent) {
+  const std::string part(kPartSize, 'x');
+  for (size_t i = 0; i < (truncate ? kPartCount / 2 : kPartCount); ++i) {
     if (!connection.Send(part))
       return;
-    sent += kPart;
+    sent += kPartSize;
   }
 }
 
 TEST_CASE("a large answer goes through two nodes") {
   std::atomic<size_t> sent = 0;
-  std::atomic<bool> ended = false;
+  std::atomic<bool> has_finished = false;
   RawServer server([&](RawSocket& connection, int) {
     while (true) {
       const std::string head = connection.ReadUntil("\r\n\r\n");
@@ -60,13 +63,13 @@
       const bool is_known = head.find("known") != std::string::npos;
       connection.Send(is_known ? absl::StrCat("HTTP/1.1 200 OK\r\n"
                                               "Content-Length: ",
-                                              kSize, "\r\n\r\n")
+                                              kBodySize, "\r\n\r\n")
                                : "HTTP/1.1 200 OK\r\n"
                                  "Transfer-Encoding: chunked\r\n\r\n");
       if (!is_known)
-        connection.Send(absl::StrCat(absl::Hex(kSize), "\r\n"));
+        connection.Send(absl::StrCat(absl::Hex(kBodySize), "\r\n"));
       SendParts(connection, head.find("cut") != std::string::npos, sent);
-      ended = true;
+      has_finished = true;
       if (head.find("cut") != std::string::npos)
         return;
       if (!is_known)
@@ -83,48 +86,48 @@
   const size_t memory_b = ResidentKilobytes(*b.node);
   RawSocket caller(a.caller_address);
   const std::string length = GENERATE("known", "unknown");
-  const auto ask = [&](const std::string& what) {
+  const auto send_request = [&](const std::string& what) {
     caller.Send("GET /dossie/" + what +
                 " HTTP/1.1\r\nHost: x\r\nX-Request-Id: 1\r\n\r\n");
   };
   INFO(length);
 
   SECTION("whole, with bounded memory") {
-    ask(length == "known" ? "known" : "chunks");
-    size_t got = caller.ReadUntil("\r\n\r\n").size();
-    while (got < kSize) {
-      const std::string part = caller.ReadSome(kPart);
+    send_request(length == "known" ? "known" : "chunks");
+    size_t received = caller.ReadUntil("\r\n\r\n").size();
+    while (received < kBodySize) {
+      const std::string part = caller.ReadSome(kPartSize);
       REQUIRE_FALSE(part.empty());
-      got += part.size();
+      received += part.size();
     }
-    CHECK(ResidentKilobytes(*a.node) < memory_a + kLargestGrowth);
-    CHECK(ResidentKilobytes(*b.node) < memory_b + kLargestGrowth);
+    CHECK(ResidentKilobytes(*a.node) < memory_a + kMaxGrowthKilobytes);
+    CHECK(ResidentKilobytes(*b.node) < memory_b + kMaxGrowthKilobytes);
   }
   SECTION("a caller that does not read holds up the server") {
-    ask(length == "known" ? "known" : "chunks");
+    send_request(length == "known" ? "known" : "chunks");
     constexpr int kTimesUnchanged = 100;
     int unchanged = 0;
-    size_t before = 0;
+    size_t last_sent = 0;
     REQUIRE(WaitUntil([&] {
-      unchanged = sent > 0 && sent == before ? unchanged + 1 : 0;
-      before = sent;
+      unchanged = sent > 0 && sent == last_sent ? unchanged + 1 : 0;
+      last_sent = sent;
       return unchanged == kTimesUnchanged;
     }));
-    CHECK_FALSE(ended);
-    CHECK(ResidentKilobytes(*a.node) < memory_a + kLargestGrowth);
-    CHECK(ResidentKilobytes(*b.node) < memory_b + kLargestGrowth);
+    CHECK_FALSE(has_finished);
+    CHECK(ResidentKilobytes(*a.node) < memory_a + kMaxGrowthKilobytes);
+    CHECK(ResidentKilobytes(*b.node) < memory_b + kMaxGrowthKilobytes);
 
     SECTION("and when it goes away the server is told") {
       caller.Close();
-      CHECK(WaitUntil([&] { return ended.load(); }));
-      CHECK(sent < kSize);
+      CHECK(WaitUntil([&] { return has_finished.load(); }));
+      CHECK(sent < kBodySize);
     }
   }
   SECTION("one that is cut is seen to be cut") {
-    ask(length == "known" ? "known-cut" : "cut");
+    send_request(length == "known" ? "known-cut" : "cut");
     const std::string answer = caller.ReadToEnd();
     CHECK(answer.starts_with("HTTP/1.1 200 OK"));
-    CHECK(answer.size() < kSize);
+    CHECK(answer.size() < kBodySize);
     CHECK_FALSE(answer.ends_with("\r\n0\r\n\r\n"));
   }
 }
--- a/tests/auto/input/mutated_input_test.cc
+++ b/tests/auto/input/mutated_input_test.cc
@@ -41,14 +41,14 @@
     "repeatable = GET /dossie/\ndeadline = 3s\n[servers]\nslots = 12\n"
     "cold_rate = 16\n[classes]\nurgent = 1\n";
 
-template <typename Form>
-void ReadAllOf(const Form& form, const net::HttpAnswer& answer) {
-  (void)form.ParsePage(answer);
-  (void)form.ParseEntry(answer);
-  (void)form.ParseSwap(answer);
-  (void)form.ParseGrant(answer);
-  (void)form.ParseKeepAlive(answer);
-  (void)form.ParseChanges(answer);
+template <typename Protocol>
+void ParseAll(const Protocol& protocol, const net::HttpAnswer& answer) {
+  (void)protocol.ParsePage(answer);
+  (void)protocol.ParseEntry(answer);
+  (void)protocol.ParseSwap(answer);
+  (void)protocol.ParseGrant(answer);
+  (void)protocol.ParseKeepAlive(answer);
+  (void)protocol.ParseChanges(answer);
 }
 
 TEST_CASE("answers of the store") {
@@ -61,7 +61,7 @@
          R"({"key":"a/b","value":"eA==","revision":5,"asOf":9})",
          R"({"lease":7,"ttl_time":"3s"})", R"({"revision":12})"});
     const int status = *rc::gen::element(200, 404, 410, 412, 429, 503, 0, -1);
-    ReadAllOf(platform::HostedStoreForm(), {.status = status, .body = body});
+    ParseAll(platform::HostedStoreForm(), {.status = status, .body = body});
   });
   rc::prop("of the product's own form", [] {
     const std::string body = *MutatedText(
@@ -70,7 +70,7 @@
          R"({"succeeded":true,"header":{"revision":"9"}})",
          R"({"ID":"7","TTL":"3"})", R"({"result":{"ID":"7","TTL":"3"}})"});
     const int status = *rc::gen::element(200, 400, 429, 503, 0);
-    ReadAllOf(store::EtcdProtocol(), {.status = status, .body = body});
+    ParseAll(store::EtcdProtocol(), {.status = status, .body = body});
   });
 }
 
