--- a/tests/auto/input/bad_input_test.cc
+++ b/tests/auto/input/bad_input_test.cc
@@ -1,4 +1,4 @@
-// What no well-behaved caller, node or operator sends, to a real node.
+// Sends malformed, oversized and forged requests to a real node.
 #include <catch2/catch.hpp>
 #include <string>
 #include <vector>
@@ -36,7 +36,7 @@
   const uint64_t revision = fleet.Confirm(vm, {{"dossie", kDossie}});
   REQUIRE(fleet.WaitReady(vm, 1, revision));
 
-  SECTION("a caller is told what is wrong, and that nothing was run") {
+  SECTION("an invalid request gets an error and the outcome not-run") {
     struct Row {
       std::string head;
       std::string error;
@@ -67,7 +67,7 @@
     }
   }
 
-  SECTION("who does not hold the key is refused at each listener") {
+  SECTION("requests without a valid key are refused at each listener") {
     const std::string forged =
         "GET /dossie/1 HTTP/1.1\r\nHost: x\r\nChestnutport-Depth: 0\r\n"
         "Chestnutport-Attempt: 0000000000000001-0000000000000001\r\n"
@@ -83,7 +83,8 @@
     }
   }
 
-  SECTION("nonsense at any listener ends in an error or a closed connection") {
+  SECTION(
+      "malformed bytes get an error or a closed connection at any listener") {
     const std::vector<std::string> malformed = {
         std::string("\0\xff\x16\x03\x01\r\n\r\n", 9), "GET\r\n\r\n",
         "POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: "
@@ -104,7 +105,7 @@
     }
   }
 
-  SECTION("a flood of half-open callers delays others, but not for ever") {
+  SECTION("many incomplete requests do not block other callers for good") {
     constexpr size_t kConnections = 1500;
     std::vector<RawSocket> connections;
     connections.reserve(kConnections);
--- a/tests/auto/input/large_answer_test.cc
+++ b/tests/auto/input/large_answer_test.cc
@@ -1,4 +1,4 @@
-// Answers that are larger than what a node keeps, through real nodes.
+// Answers that exceed the buffers of a node are streamed through real nodes.
 #include <atomic>
 #include <catch2/catch.hpp>
 #include <fstream>
@@ -21,8 +21,7 @@
 constexpr size_t kPartSize = 64 * 1024;
 constexpr size_t kPartCount = 1024;
 constexpr size_t kBodySize = kPartSize * kPartCount;
-constexpr size_t kMaxGrowthKilobytes =
-    4 * 1024;  // Kilobytes of resident memory.
+constexpr size_t kMaxGrowthKilobytes = 4 * 1024;  // Of resident memory.
 
 size_t ResidentKilobytes(const Process& process) {
   std::ifstream file("/proc/" + std::to_string(process.pid()) + "/status");
@@ -35,8 +34,8 @@
   return size;
 }
 
-// Sends parts until all are sent, the other end has closed, or half of them if
-// `cut`.
+// Sends kPartCount parts, or half of them if `truncate`. Stops early if the
+// peer closes. Adds the bytes sent to `sent`.
 void SendParts(RawSocket& connection,
                bool truncate,
                std::atomic<size_t>& sent) {
@@ -103,7 +102,7 @@
     CHECK(ResidentKilobytes(*a.node) < memory_a + kMaxGrowthKilobytes);
     CHECK(ResidentKilobytes(*b.node) < memory_b + kMaxGrowthKilobytes);
   }
-  SECTION("a caller that does not read holds up the server") {
+  SECTION("back pressure of a caller that does not read reaches the server") {
     send_request(length == "known" ? "known" : "chunks");
     constexpr int kTimesUnchanged = 100;
     int unchanged = 0;
@@ -117,13 +116,13 @@
     CHECK(ResidentKilobytes(*a.node) < memory_a + kMaxGrowthKilobytes);
     CHECK(ResidentKilobytes(*b.node) < memory_b + kMaxGrowthKilobytes);
 
-    SECTION("and when it goes away the server is told") {
+    SECTION("and the server sees when the caller disconnects") {
       caller.Close();
       CHECK(WaitUntil([&] { return has_finished.load(); }));
       CHECK(sent < kBodySize);
     }
   }
-  SECTION("one that is cut is seen to be cut") {
+  SECTION("truncated, so that the caller can detect it") {
     send_request(length == "known" ? "known-cut" : "cut");
     const std::string answer = caller.ReadToEnd();
     CHECK(answer.starts_with("HTTP/1.1 200 OK"));
--- a/tests/auto/input/mutated_input_test.cc
+++ b/tests/auto/input/mutated_input_test.cc
@@ -1,6 +1,6 @@
-// Each reader of what comes from outside, on texts that were changed on the
-// way: it ends, and what it takes is within its bounds. Bytes between nodes
-// that are no text have properties of their own beside their codecs.
+// Runs each parser of external text input on mutated texts. It must terminate,
+// and what it accepts must be within bounds. Binary messages between nodes have
+// property tests of their own beside their codecs.
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
 
@@ -52,7 +52,7 @@
 }
 
 TEST_CASE("answers of the store") {
-  rc::prop("of the hosted platform", [] {
+  rc::prop("in the protocol of the hosted platform", [] {
     const std::string body = *MutatedText(
         {R"({"items":[{"key":"a/b","value":"eA==","revision":5,"created":2,)"
          R"("lease":0}],"hasMore":true,"asOf":9})",
@@ -63,7 +63,7 @@
     const int status = *rc::gen::element(200, 404, 410, 412, 429, 503, 0, -1);
     ParseAll(platform::HostedStoreForm(), {.status = status, .body = body});
   });
-  rc::prop("of the product's own form", [] {
+  rc::prop("in the native protocol", [] {
     const std::string body = *MutatedText(
         {R"({"kvs":[{"key":"YQ==","value":"eA==","mod_revision":"5"}],)"
          R"("more":true,"header":{"revision":"9"}})",
@@ -94,7 +94,7 @@
     if (problems.empty())
       (void)declarations::Configuration::FromTexts(1, checked);
   });
-  rc::prop("as nodes hand it on", [] {
+  rc::prop("as nodes send it to each other", [] {
     configuration::Head head;
     head.revision = 3;
     head.manifest = {{"dossie", "0123456789abcdef"}};
@@ -123,7 +123,7 @@
 }
 
 TEST_CASE("control calls between nodes") {
-  rc::prop("their messages and what these carry", [] {
+  rc::prop("their envelopes and payloads", [] {
     membership::Member member;
     member.id = base::NodeId{7};
     member.name = "a";
