--- a/tests/auto/docs/tables_test.cc
+++ b/tests/auto/docs/tables_test.cc
@@ -1,5 +1,5 @@
-// The tables in the pages equal those in the code. With CHESTNUTPORT_WRITE_DOCS
-// set, the test writes them anew first.
+// Checks that the tables in the documentation match those in the code. If
+// CHESTNUTPORT_WRITE_DOCS is set, the test rewrites them instead.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <fstream>
@@ -14,8 +14,8 @@
 namespace chestnutport::test {
 namespace {
 
-constexpr char kBegin[] = "<!-- table begins -->\n";
-constexpr char kEnd[] = "<!-- table ends -->\n";
+constexpr char kTableBegin[] = "<!-- table begins -->\n";
+constexpr char kTableEnd[] = "<!-- table ends -->\n";
 
 std::string EventRows() {
   std::ostringstream rows;
@@ -58,11 +58,11 @@
 void CheckTable(const std::string& page, const std::string& rows) {
   const auto path = SourceFolder() / "docs" / page;
   const std::string text = ReadFile(path);
-  const size_t begin = text.find(kBegin);
-  const size_t end = text.find(kEnd);
+  const size_t begin = text.find(kTableBegin);
+  const size_t end = text.find(kTableEnd);
   REQUIRE(begin != std::string::npos);
   REQUIRE(end != std::string::npos);
-  const size_t first = begin + sizeof(kBegin) - 1;
+  const size_t first = begin + sizeof(kTableBegin) - 1;
   if (std::getenv("CHESTNUTPORT_WRITE_DOCS")) {
     std::ofstream(path) << text.substr(0, first) << rows << text.substr(end);
     return;
@@ -70,7 +70,7 @@
   CHECK(text.substr(first, end - first) == rows);
 }
 
-TEST_CASE("the pages hold the tables of the code") {
+TEST_CASE("the tables in the pages match the code") {
   CheckTable("EVENTS.md", EventRows());
   CheckTable("ERRORS.md", ErrorRows());
   CheckTable("METRICS.md", MetricRows());
--- a/tests/auto/examples/proof_page_test.cc
+++ b/tests/auto/examples/proof_page_test.cc
@@ -1,4 +1,4 @@
-// docs/PROOF.md names only tests that exist.
+// Checks that the tests named in docs/PROOF.md exist.
 #include <catch2/catch.hpp>
 #include <cstdlib>
 #include <fstream>
@@ -15,23 +15,25 @@
   return text.str();
 }
 
-// How the source names a section or a test case of that text; the formatter
-// begins long names on a line of their own, and breaks them over two literals.
+// Returns whether `source` has a section or test case of this name. The
+// formatter may put a long name on its own line and split it into several
+// literals.
 bool HasTest(const std::string& source, const std::string& name) {
-  std::string joined = std::regex_replace(source, std::regex("\"\\s*\""), "");
-  joined = std::regex_replace(joined, std::regex("\\(\\s*\""), "(\"");
+  std::string normalised =
+      std::regex_replace(source, std::regex("\"\\s*\""), "");
+  normalised = std::regex_replace(normalised, std::regex("\\(\\s*\""), "(\"");
   std::string wanted = "(\"";
   wanted.append(name).append("\"");
-  return joined.find(wanted) != std::string::npos;
+  return normalised.find(wanted) != std::string::npos;
 }
 
 TEST_CASE("docs/PROOF.md names only tests that exist") {
   const std::string root = std::getenv("CHESTNUTPORT_SOURCE");
   const std::string page = ReadFile(root + "/docs/PROOF.md");
-  const std::regex named("`([a-z_]+_test): ([^`]+)`");
+  const std::regex reference("`([a-z_]+_test): ([^`]+)`");
   int count = 0;
-  for (std::sregex_iterator it(page.begin(), page.end(), named), end; it != end;
-       ++it, ++count) {
+  for (std::sregex_iterator it(page.begin(), page.end(), reference), end;
+       it != end; ++it, ++count) {
     const std::string file = (*it)[1];
     const std::string name = (*it)[2];
     INFO(file << ": " << name);
--- a/tests/auto/failures/cut_answer_test.cc
+++ b/tests/auto/failures/cut_answer_test.cc
@@ -1,4 +1,5 @@
-// A server's answer that is cut is seen to be cut, or is told as unknown.
+// Guarantee: a truncated answer of a server is never passed on as a complete
+// one. The caller sees the truncation or gets the outcome "unknown".
 #include <catch2/catch.hpp>
 
 #include "support/small_fleet.h"
@@ -6,11 +7,11 @@
 namespace chestnutport::test {
 namespace {
 
-// Answers larger than a socket's buffer takes at once.
+// Answers larger than a socket buffer, so that one takes several writes.
 const LoadOptions kLarge{.callers = 48, .answer_bytes = 300000};
 
-// Requests that end between two resets of connections.
-constexpr size_t kBetweenResets = 10;
+// Requests that complete between two connection resets.
+constexpr size_t kCallsBetweenResets = 10;
 
 TEST_CASE("a server's own answer is cut") {
   SmallFleet small;
@@ -18,16 +19,16 @@
   Audit audit;
 
   SECTION("when connections are reset in the middle of answers") {
-    audit = small.RunThrough(kLarge, [&](Load& callers) {
+    audit = small.RunWithFault(kLarge, [&](Load& callers) {
       for (int i = 0; i < 20; ++i) {
         small.b.server_relay->ResetOpenConnections();
         small.c.peer_relay->ResetOpenConnections();
-        CHECK(callers.WaitForMore(kBetweenResets));
+        CHECK(callers.WaitForMore(kCallsBetweenResets));
       }
     });
   }
   SECTION("when a server is killed in the middle of answers") {
-    audit = small.RunThrough(kLarge, [&] { fleet.StartServer(small.b); });
+    audit = small.RunWithFault(kLarge, [&] { fleet.StartServer(small.b); });
   }
   INFO(audit.ToString());
   CHECK(audit.answered > 0);
--- a/tests/auto/failures/leaving_server_test.cc
+++ b/tests/auto/failures/leaving_server_test.cc
@@ -1,4 +1,4 @@
-// Promise: a server that leaves gets no new work within a few seconds.
+// Guarantee: a draining server gets no new requests after a few seconds.
 #include <catch2/catch.hpp>
 #include <csignal>
 
@@ -17,17 +17,18 @@
   const auto is_leaving_everywhere = [&] {
     return WaitUntil([&] { return fleet.IsLeavingEverywhere(small.b); });
   };
-  // Began after the drain was known everywhere: must stay zero.
-  size_t began = 0;
+  // Requests that the server started once `drain` had returned. Must be zero.
+  size_t started_after_drain = 0;
 
   const auto drain_and_count = [&](const std::function<void()>& drain) {
-    return small.RunThrough(kMixed, [&] {
+    return small.RunWithFault(kMixed, [&] {
       drain();
       const size_t before = CountStarted(small.b.ledger);
-      Load more({.prefix = "after", .callers = 24}, fleet.CallerAddresses());
-      CHECK(more.WaitForMore(500));
-      more.Stop();
-      began = CountStarted(small.b.ledger) - before;
+      Load later_load({.prefix = "after", .callers = 24},
+                      fleet.CallerAddresses());
+      CHECK(later_load.WaitForMore(500));
+      later_load.Stop();
+      started_after_drain = CountStarted(small.b.ledger) - before;
     });
   };
 
@@ -39,9 +40,10 @@
   }
   SECTION("when the server itself says so") {
     drain_and_count([&] {
-      const auto told = Ask(small.b.server_side_address,
-                            {.method = "POST", .target = "/v1/server/drain"});
-      REQUIRE(told.answer.status == 200);
+      const auto response =
+          SendAndWait(small.b.announcement_address,
+                      {.method = "POST", .target = "/v1/server/drain"});
+      REQUIRE(response.answer.status == 200);
       REQUIRE(is_leaving_everywhere());
     });
   }
@@ -57,7 +59,7 @@
       fleet.CommandServer(small.b, R"({"draining": true})");
       REQUIRE(is_leaving_everywhere());
       fleet.StartNode(small.b);
-      REQUIRE(WaitUntil([&] { return fleet.HasServer(small.b); }));
+      REQUIRE(WaitUntil([&] { return fleet.IsServerRegistered(small.b); }));
     });
   }
   SECTION("when the store is down, so that its own gate alone refuses") {
@@ -75,13 +77,13 @@
       small.c.node->Signal(SIGCONT);
     });
   }
-  CHECK(began == 0);
+  CHECK(started_after_drain == 0);
 }
 
 TEST_CASE("the count sees work on a server that does not leave") {
   SmallFleet small;
   const size_t before = CountStarted(small.b.ledger);
-  small.RunThrough(kMixed, [] {});
+  small.RunWithFault(kMixed, [] {});
   CHECK(CountStarted(small.b.ledger) > before);
 }
 
--- a/tests/auto/failures/measuring_budget_test.cc
+++ b/tests/auto/failures/measuring_budget_test.cc
@@ -1,5 +1,5 @@
-// Promise: measuring never costs more than its budget, also in a rush and in a
-// storm of restarts.
+// Guarantee: health probes never exceed their time budget, also under load
+// peaks and repeated restarts of a server.
 #include <algorithm>
 #include <catch2/catch.hpp>
 
@@ -10,31 +10,32 @@
 namespace chestnutport::test {
 namespace {
 
-// What the declaration allows when it says nothing, of a server's time.
+// Default probe budget of a declaration, as a share of the server's time.
 constexpr double kBudget = 0.005;
 constexpr std::chrono::milliseconds kProbeCost(6);
-// Enough to see whether they come too often.
-constexpr int kProbes = 3;
+// Probes to wait for before the probe rate is compared with the budget.
+constexpr int kMinProbes = 3;
 
-int ProbesOf(const Fleet& fleet, const Vm& vm) {
+int ProbeCount(const Fleet& fleet, const Vm& vm) {
   return fleet.CommandServer(vm, "{}").value("probes", 0);
 }
 
-// The server's time for probes since its start, against what its budget gave
-// it until now. One probe may always be under way.
+// Returns whether the server's probe time since its start is within the budget
+// accrued so far. One probe is not counted, as it may be in flight.
 bool KeepsBudget(const Fleet& fleet,
                  const Vm& vm,
                  std::chrono::steady_clock::time_point server_start) {
-  const int probes = ProbesOf(fleet, vm);
-  const auto given =
+  const int probes = ProbeCount(fleet, vm);
+  const auto allowed =
       kBudget * (std::chrono::steady_clock::now() - server_start);
-  return (probes - 1) * kProbeCost <= given;
+  return (probes - 1) * kProbeCost <= allowed;
 }
 
-// A server without requests is probed every few seconds.
+// Waits for kMinProbes further probes. An idle server is probed every few
+// seconds.
 bool WaitForProbes(const Fleet& fleet, const Vm& vm) {
-  const int before = ProbesOf(fleet, vm);
-  return WaitUntil([&] { return ProbesOf(fleet, vm) >= before + kProbes; },
+  const int before = ProbeCount(fleet, vm);
+  return WaitUntil([&] { return ProbeCount(fleet, vm) >= before + kMinProbes; },
                    std::chrono::minutes(1));
 }
 
@@ -50,32 +51,32 @@
   }
   SECTION("in a rush of callers") {
     small.calls = 3000;
-    small.RunThrough({.callers = 200}, [] {});
+    small.RunWithFault({.callers = 200}, [] {});
   }
   SECTION("when a server fails every request") {
     fleet.CommandServer(small.b, R"({"fail": true})");
-    small.RunThrough({}, [] {});
+    small.RunWithFault({}, [] {});
   }
   SECTION("when a health check says ill of a server that serves well") {
     fleet.CommandServer(small.b, R"({"health": "ill"})");
     REQUIRE(WaitForProbes(fleet, small.b));
     CHECK(KeepsBudget(fleet, small.b, start));
-    const Audit audit = small.RunThrough({}, [] {});
+    const Audit audit = small.RunWithFault({}, [] {});
     CHECK(audit.answered + audit.not_run == audit.calls);
   }
   SECTION("when a health check is never answered by one that serves well") {
     fleet.CommandServer(small.b, R"({"health": "silent"})");
     REQUIRE(WaitForProbes(fleet, small.b));
     CHECK(KeepsBudget(fleet, small.b, start));
-    const Audit audit = small.RunThrough({}, [] {});
+    const Audit audit = small.RunWithFault({}, [] {});
     CHECK(audit.answered + audit.not_run == audit.calls);
   }
   SECTION("when a server is silent to its node") {
-    small.RunThrough({},
-                     [&] { small.b.server_relay->SilenceOpenConnections(); });
+    small.RunWithFault({},
+                       [&] { small.b.server_relay->SilenceOpenConnections(); });
   }
   SECTION("in a storm of restarts") {
-    small.RunThrough({}, [&] {
+    small.RunWithFault({}, [&] {
       for (int i = 0; i < 10; ++i) {
         start = std::chrono::steady_clock::now();
         fleet.StartServer(small.b);
@@ -89,7 +90,8 @@
 
   SECTION("and one who asks without a budget is seen") {
     for (int i = 0; i < 200; ++i)
-      Ask(small.a.server_address, {.method = "GET", .target = "/health"});
+      SendAndWait(small.a.server_address,
+                  {.method = "GET", .target = "/health"});
     CHECK_FALSE(KeepsBudget(fleet, small.a, start));
   }
 }
--- a/tests/auto/input/mutated_input_test.cc
+++ b/tests/auto/input/mutated_input_test.cc
@@ -1,6 +1,6 @@
-// Each reader of what comes from outside, on texts that were changed on the
-// way: it ends, and what it takes is within its bounds. Bytes between nodes
-// that are no text have properties of their own beside their codecs.
+// Runs each parser of external text input on mutated texts. It must terminate,
+// and what it accepts must be within bounds. Binary messages between nodes have
+// property tests of their own beside their codecs.
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
 
@@ -41,18 +41,18 @@
     "repeatable = GET /dossie/\ndeadline = 3s\n[servers]\nslots = 12\n"
     "cold_rate = 16\n[classes]\nurgent = 1\n";
 
-template <typename Form>
-void ReadAllOf(const Form& form, const net::HttpAnswer& answer) {
-  (void)form.ParsePage(answer);
-  (void)form.ParseEntry(answer);
-  (void)form.ParseSwap(answer);
-  (void)form.ParseGrant(answer);
-  (void)form.ParseKeepAlive(answer);
-  (void)form.ParseChanges(answer);
+template <typename Protocol>
+void ParseAll(const Protocol& protocol, const net::HttpAnswer& answer) {
+  (void)protocol.ParsePage(answer);
+  (void)protocol.ParseEntry(answer);
+  (void)protocol.ParseSwap(answer);
+  (void)protocol.ParseGrant(answer);
+  (void)protocol.ParseKeepAlive(answer);
+  (void)protocol.ParseChanges(answer);
 }
 
 TEST_CASE("answers of the store") {
-  rc::prop("of the hosted platform", [] {
+  rc::prop("in the protocol of the hosted platform", [] {
     const std::string body = *MutatedText(
         {R"({"items":[{"key":"a/b","value":"eA==","revision":5,"created":2,)"
          R"("lease":0}],"hasMore":true,"asOf":9})",
@@ -61,17 +61,16 @@
          R"({"key":"a/b","value":"eA==","revision":5,"asOf":9})",
          R"({"lease":7,"ttl_time":"3s"})", R"({"revision":12})"});
     const int status = *rc::gen::element(200, 404, 410, 412, 429, 503, 0, -1);
-    ReadAllOf(platform::HostedStoreProtocol(),
-              {.status = status, .body = body});
+    ParseAll(platform::HostedStoreProtocol(), {.status = status, .body = body});
   });
-  rc::prop("of the product's own form", [] {
+  rc::prop("in the native protocol", [] {
     const std::string body = *MutatedText(
         {R"({"kvs":[{"key":"YQ==","value":"eA==","mod_revision":"5"}],)"
          R"("more":true,"header":{"revision":"9"}})",
          R"({"succeeded":true,"header":{"revision":"9"}})",
          R"({"ID":"7","TTL":"3"})", R"({"result":{"ID":"7","TTL":"3"}})"});
     const int status = *rc::gen::element(200, 400, 429, 503, 0);
-    ReadAllOf(store::EtcdProtocol(), {.status = status, .body = body});
+    ParseAll(store::EtcdProtocol(), {.status = status, .body = body});
   });
 }
 
@@ -95,7 +94,7 @@
     if (problems.empty())
       (void)declarations::Configuration::FromTexts(1, checked);
   });
-  rc::prop("as nodes hand it on", [] {
+  rc::prop("as nodes send it to each other", [] {
     configuration::Head head;
     head.revision = 3;
     head.manifest = {{"dossie", "0123456789abcdef"}};
@@ -124,7 +123,7 @@
 }
 
 TEST_CASE("control calls between nodes") {
-  rc::prop("their messages and what these carry", [] {
+  rc::prop("their envelopes and payloads", [] {
     membership::Member member;
     member.id = base::NodeId{7};
     member.name = "a";
--- a/tests/demo/soak.cc
+++ b/tests/demo/soak.cc
@@ -1,6 +1,6 @@
-// Mixed faults by seed over a small fleet, for as long as asked. Prints the
-// seed, each fault and the counts; ends non-zero on a violation. Called by
-// scripts/soak.
+// Soak test: injects seeded random faults into a small fleet for a given time
+// or number of rounds. Prints the seed, each fault and the counts; exits
+// non-zero on a violation. Run by scripts/soak.
 #include <algorithm>
 #include <csignal>
 #include <functional>
@@ -17,14 +17,15 @@
 namespace test = chestnutport::test;
 using std::chrono::milliseconds;
 
-// Something that goes wrong, and what sets it right again; either may be empty.
+// A fault: the action that starts it and the one that ends it. Either may be
+// empty.
 struct Fault {
   const char* name;
   std::function<void(test::Fleet&, test::Vm&)> begin;
   std::function<void(test::Fleet&, test::Vm&)> end;
 };
 
-void StopInOrder(test::Vm& vm) {
+void StopGracefully(test::Vm& vm) {
   vm.node->Signal(SIGTERM);
 }
 
@@ -35,7 +36,7 @@
       {"node killed", nullptr,
        [](test::Fleet& fleet, test::Vm& vm) { fleet.StartNode(vm); }},
       {"node stopped in order and started anew",
-       [](test::Fleet&, test::Vm& vm) { StopInOrder(vm); },
+       [](test::Fleet&, test::Vm& vm) { StopGracefully(vm); },
        [](test::Fleet& fleet, test::Vm& vm) {
          vm.node->WaitForExit(std::chrono::seconds(40));
          fleet.StartNode(vm);
@@ -57,8 +58,8 @@
        [](test::Fleet&, test::Vm& vm) { vm.peer_relay->Cut(true); },
        [](test::Fleet&, test::Vm& vm) { vm.peer_relay->Cut(false); }},
       {"answers of the node lost",
-       [](test::Fleet&, test::Vm& vm) { vm.peer_relay->LoseAnswers(true); },
-       [](test::Fleet&, test::Vm& vm) { vm.peer_relay->LoseAnswers(false); }},
+       [](test::Fleet&, test::Vm& vm) { vm.peer_relay->DropAnswers(true); },
+       [](test::Fleet&, test::Vm& vm) { vm.peer_relay->DropAnswers(false); }},
       {"node's link slow",
        [](test::Fleet&, test::Vm& vm) {
          vm.peer_relay->SetDelay(milliseconds(80));
@@ -89,57 +90,58 @@
   return faults;
 }
 
-// A beginning or an end of a fault, at its time in the round.
-struct Step {
+// The start or end of a fault, at its offset from the start of the round.
+struct FaultEvent {
   milliseconds at;
   std::string what;
   std::function<void()> run;
 };
 
-void AddSteps(test::SmallFleet& small,
+void AddFault(test::SmallFleet& small,
               chestnutport::base::Random& random,
-              std::vector<Step>& steps) {
+              std::vector<FaultEvent>& events) {
   const Fault& fault = AllFaults()[random() % AllFaults().size()];
   const auto& vms = small.fleet.vms();
   test::Vm& vm = *vms[random() % vms.size()];
-  const milliseconds begins(random() % 1500);
-  const milliseconds lasts(200 + random() % 3300);
+  const milliseconds start(random() % 1500);
+  const milliseconds duration(200 + random() % 3300);
   const std::string name = std::string(fault.name) + ": " + vm.name;
   const auto add = [&](milliseconds at, const std::string& what,
                        const auto& action) {
     if (action)
-      steps.push_back(
+      events.push_back(
           {at, what, [&small, &vm, action] { action(small.fleet, vm); }});
   };
-  add(begins, name + " begins", fault.begin);
-  add(begins + lasts, name + " ends", fault.end);
+  add(start, name + " begins", fault.begin);
+  add(start + duration, name + " ends", fault.end);
 }
 
-// What a fault ends may have been killed by another meanwhile: signals to a
-// process that is gone do nothing, and each end starts what is not there.
-void RunSteps(std::vector<Step> steps) {
-  std::ranges::stable_sort(steps, {}, &Step::at);
+// Overlapping faults may stop the same process. A signal to an exited process
+// has no effect, and the `end` action of a kill restarts the process in any
+// case.
+void RunEvents(std::vector<FaultEvent> events) {
+  std::ranges::stable_sort(events, {}, &FaultEvent::at);
   const auto start = std::chrono::steady_clock::now();
-  for (const Step& step : steps) {
-    std::this_thread::sleep_until(start + step.at);
-    std::cout << "  " << step.at.count() << " ms " << step.what << std::endl;
-    step.run();
+  for (const FaultEvent& event : events) {
+    std::this_thread::sleep_until(start + event.at);
+    std::cout << "  " << event.at.count() << " ms " << event.what << std::endl;
+    event.run();
   }
 }
 
-// One round: a load, and one to three faults on VMs drawn by the seed, which
-// overlap as it happens.
+// Runs one round: a load, and one to three random faults on random VMs, which
+// may overlap.
 test::Audit RunRound(test::SmallFleet& small,
                      chestnutport::base::Random& random,
                      uint64_t round) {
-  std::vector<Step> steps;
+  std::vector<FaultEvent> events;
   const size_t count = 1 + random() % 3;
   for (size_t i = 0; i < count; ++i)
-    AddSteps(small, random, steps);
+    AddFault(small, random, events);
   test::LoadOptions load;
   load.prefix = "round" + std::to_string(round);
   load.seed = random();
-  return small.RunThrough(load, [&] { RunSteps(steps); });
+  return small.RunWithFault(load, [&] { RunEvents(events); });
 }
 
 }  // namespace
@@ -159,12 +161,12 @@
   size_t violations = 0;
   const auto end =
       std::chrono::steady_clock::now() + std::chrono::minutes(amount);
-  const auto goes_on = [&](uint64_t round) {
+  const auto has_next_round = [&](uint64_t round) {
     return unit == "rounds" ? round <= static_cast<uint64_t>(amount)
                             : std::chrono::steady_clock::now() < end;
   };
   test::SmallFleet small;
-  for (uint64_t round = 1; goes_on(round); ++round) {
+  for (uint64_t round = 1; has_next_round(round); ++round) {
     const test::Audit audit = RunRound(small, random, round);
     violations += audit.violations();
     std::cout << "round " << round << ": " << audit.ToString() << std::endl;
--- a/tests/standins/server_standin.cc
+++ b/tests/standins/server_standin.cc
@@ -1,10 +1,13 @@
-// Stands in for a backend server. Runs a request for as long as the query
-// says (?ms=20), in as many slots as it has, answers with `bytes` of filling
-// between two marks of the request's X-Request-Id, and appends "started ID" and
-// "finished ID" to its ledger. Announces itself to its own node. SIGTERM lets
-// what runs finish. Troubles are switched on by POST /standin with
-// {"straggle_ms": N, "shed": BOOL, "fail": BOOL, "announce": BOOL}; the answer
-// to it, and to GET, are the counts.
+// A test double of a backend server. Runs up to `slots` requests at a time,
+// each for the duration given by the query (?ms=20), and queues the others.
+// Answers with `bytes` of padding between two copies of the request's
+// X-Request-Id, and appends "started ID" and "finished ID" to its ledger.
+// Announces itself to its own node. On SIGTERM it finishes the requests in
+// flight, then exits.
+//
+// POST /standin switches faults on and off: {"straggle_ms": N, "shed": BOOL,
+// "fail": BOOL, "announce": BOOL, "draining": BOOL,
+// "health": "well" | "ill" | "silent"}. It returns the counters, as does GET.
 #include <fcntl.h>
 #include <sys/epoll.h>
 #include <sys/signalfd.h>
@@ -27,14 +30,26 @@
 #include "wire/header_names.h"
 
 ABSL_FLAG(std::string, listen, "127.0.0.1:0", "Address to listen on.");
-ABSL_FLAG(std::string, node, "", "The own node's address for announcements.");
+ABSL_FLAG(std::string,
+          node,
+          "",
+          "Announcement address of the node on the same VM.");
 ABSL_FLAG(std::string, service, "", "Service to announce.");
-ABSL_FLAG(std::string, name, "server", "Name shown in answers.");
-ABSL_FLAG(std::string, announce_as, "", "Address to announce, if another.");
+ABSL_FLAG(std::string, name, "server", "Name sent in the X-Server header.");
+ABSL_FLAG(std::string,
+          announce_as,
+          "",
+          "Address to announce, if not the listening one.");
 ABSL_FLAG(std::string, ledger, "", "File to append executions to.");
-ABSL_FLAG(bool, run_twice, false, "Broken on purpose: runs requests twice.");
-ABSL_FLAG(bool, mix_up, false, "Broken on purpose: answers for another.");
-ABSL_FLAG(int, slots, 12, "Requests run at a time.");
+ABSL_FLAG(bool,
+          run_twice,
+          false,
+          "Injected fault: records each request as started twice.");
+ABSL_FLAG(bool,
+          mix_up,
+          false,
+          "Injected fault: answers with the id of another request.");
+ABSL_FLAG(int, slots, 12, "Maximum number of concurrent requests.");
 
 namespace {
 
@@ -71,27 +86,27 @@
       return;
     }
     if (net::FindHeader(request.headers, "X-Request-Id").empty()) {
-      ++probes_;  // Nobody else asks without an id.
+      ++probes_;  // Only health probes have no request id.
       AnswerProbe(std::move(reply));
       return;
     }
-    if (trouble_.value("shed", false)) {
+    if (faults_.value("shed", false)) {
       ++shed_;
       reply.Send(
           {.status = 503,
            .headers = {{chestnutport::wire::kOutcomeHeader, "not-run"}}});
       return;
     }
-    waiting_.push_back({std::move(request), std::move(reply)});
-    RunWaiting();
+    queue_.push_back({std::move(request), std::move(reply)});
+    RunQueued();
   }
 
-  // Says that it is well, whatever it does with requests, unless it is told to
-  // lie.
+  // Reports healthy unless the "health" fault is set, independently of how
+  // requests are answered.
   void AnswerProbe(net::Reply reply) {
-    const std::string health = trouble_.value("health", "well");
+    const std::string health = faults_.value("health", "well");
     if (health == "silent")
-      unanswered_.push_back(std::move(reply));
+      unanswered_probes_.push_back(std::move(reply));
     else if (health == "ill")
       reply.Send({.status = 503, .body = "{\"healthy\": false}"});
     else
@@ -99,14 +114,14 @@
   }
 
   void Announce(const base::SocketAddress& node, const std::string& address) {
-    const bool is_leaving = trouble_.value("draining", false);
+    const bool is_draining = faults_.value("draining", false);
     const json body = {{"service", absl::GetFlag(FLAGS_service)},
-                       {"draining", is_leaving},
+                       {"draining", is_draining},
                        {"address", address},
                        {"slots", absl::GetFlag(FLAGS_slots)},
                        {"health", "/health"},
                        {"instance", address}};
-    if (trouble_.value("announce", true) && !stopping_) {
+    if (faults_.value("announce", true) && !is_stopping_) {
       client_.Send(
           node, {.method = "POST", .target = "/v1/server", .body = body.dump()},
           kAnnounceTimeout, [](const net::TransferResult&) {});
@@ -116,7 +131,7 @@
   }
 
   void Stop() {
-    stopping_ = true;
+    is_stopping_ = true;
     StopIfIdle();
   }
 
@@ -129,8 +144,8 @@
   void OnCommand(const net::HttpRequest& request, net::Reply reply) {
     const json command = json::parse(request.body, nullptr, false);
     if (command.is_object())
-      trouble_.update(command);
-    const json counts = {{"running", running_ + waiting_.size()},
+      faults_.update(command);
+    const json counts = {{"running", running_ + queue_.size()},
                          {"started", started_},
                          {"finished", finished_},
                          {"shed", shed_},
@@ -138,10 +153,10 @@
     reply.Send({.body = counts.dump()});
   }
 
-  void RunWaiting() {
-    while (!waiting_.empty() && running_ < absl::GetFlag(FLAGS_slots)) {
-      auto work = std::make_shared<Work>(std::move(waiting_.front()));
-      waiting_.pop_front();
+  void RunQueued() {
+    while (!queue_.empty() && running_ < absl::GetFlag(FLAGS_slots)) {
+      auto work = std::make_shared<Work>(std::move(queue_.front()));
+      queue_.pop_front();
       Run(work);
     }
   }
@@ -156,30 +171,30 @@
     if (absl::GetFlag(FLAGS_run_twice))
       WriteLine("started ", id);
     const int bytes = QueryNumber(target, "bytes");
-    const auto end = [this, work, id, bytes] { End(*work, id, bytes); };
+    const auto end = [this, work, id, bytes] { Finish(*work, id, bytes); };
     const std::chrono::milliseconds time(QueryNumber(target, "ms") +
-                                         trouble_.value("straggle_ms", 0));
+                                         faults_.value("straggle_ms", 0));
     if (time.count() == 0)
       end();
     else
       loop_.CallAfter(time, end);
   }
 
-  void End(Work& work, const std::string& id, int bytes) {
+  void Finish(Work& work, const std::string& id, int bytes) {
     --running_;
     ++finished_;
     WriteLine("finished ", id);
-    const std::string mark = absl::GetFlag(FLAGS_mix_up) ? last_mark_ : id;
-    last_mark_ = id;
-    const bool fails = trouble_.value("fail", false);
+    const std::string answered_id = absl::GetFlag(FLAGS_mix_up) ? last_id_ : id;
+    last_id_ = id;
+    const bool fails = faults_.value("fail", false);
     work.reply.Send(
         {.status = fails ? 500 : 200,
          .headers = {{"X-Request-Id", id},
                      {"X-Server", absl::GetFlag(FLAGS_name)}},
-         .body = absl::StrCat("[", mark, "]",
+         .body = absl::StrCat("[", answered_id, "]",
                               std::string(static_cast<size_t>(bytes), '.'), "[",
-                              mark, "]")});
-    RunWaiting();
+                              answered_id, "]")});
+    RunQueued();
     StopIfIdle();
   }
 
@@ -189,25 +204,26 @@
       std::cerr << "ledger not written" << std::endl;
   }
 
-  // The answer that was sent last still has to leave.
+  // Stops after a delay, so that the last answer can still be written.
   void StopIfIdle() {
-    if (stopping_ && running_ == 0 && waiting_.empty())
+    if (is_stopping_ && running_ == 0 && queue_.empty())
       loop_.CallAfter(std::chrono::milliseconds(50), [this] { loop_.Stop(); });
   }
 
   net::EventLoop& loop_;
   net::HttpClient client_;
-  std::string last_mark_;  // The request answered last.
-  json trouble_ = json::object();
-  std::deque<Work> waiting_;
-  std::vector<net::Reply> unanswered_;  // Of health checks.
+  std::string last_id_;  // Id of the request answered last.
+  json faults_ = json::object();
+  std::deque<Work> queue_;
+  std::vector<net::Reply>
+      unanswered_probes_;  // Kept, so that the connections stay open.
   int ledger_fd_ = -1;
   int running_ = 0;
   uint64_t started_ = 0;
   uint64_t finished_ = 0;
   uint64_t shed_ = 0;
   uint64_t probes_ = 0;
-  bool stopping_ = false;
+  bool is_stopping_ = false;
 };
 
 void StopOnSignal(net::EventLoop& loop, ServerStandin& standin) {
@@ -236,12 +252,13 @@
       });
   if (!server)
     return 1;
-  const std::string own = server.value()->address().ToString();
-  std::cout << "listening=" << own << std::endl;
+  const std::string listen_address = server.value()->address().ToString();
+  std::cout << "listening=" << listen_address << std::endl;
   const auto node = base::SocketAddress::Parse(absl::GetFlag(FLAGS_node));
-  const std::string other = absl::GetFlag(FLAGS_announce_as);
+  const std::string announced_address = absl::GetFlag(FLAGS_announce_as);
   if (node)
-    standin.Announce(*node, other.empty() ? own : other);
+    standin.Announce(
+        *node, announced_address.empty() ? listen_address : announced_address);
   StopOnSignal(loop, standin);
   loop.Run();
   return 0;
