--- a/src/libs/membership/byte_rate_limiter.h
+++ b/src/libs/membership/byte_rate_limiter.h
@@ -14,10 +14,8 @@
 
   // Refills the bucket and returns whether anything may be sent now.
   bool HasTokens(base::Instant now);
-  // Takes `bytes` from the bucket. The balance may go below zero by one
-  // datagram.
+  // The balance may go below zero by one datagram.
   void Consume(size_t bytes);
-  // Returns when sending is possible again.
   base::Instant NextAvailable() const;
 
  private:
--- a/src/libs/membership/evidence_disseminator.h
+++ b/src/libs/membership/evidence_disseminator.h
@@ -1,11 +1,10 @@
 // Disseminates evidence on requests that were running when servers crashed,
 // within a bandwidth budget of its own.
 //
-// Most crashes are not caused by the requests that were running. The first
-// crash of a request is therefore sent only to a few collectors, chosen by the
-// fingerprint of the request. Once two crashes are known, the evidence is
-// broadcast with gossip messages. Broadcasting each crash would exhaust the
-// budget of every node at ten crashes a second in a fleet of hundreds of nodes.
+// Most crashes are not caused by the running requests, so the first crash of a
+// request is sent only to a few collectors, chosen by its fingerprint. Once two
+// are known, the evidence is broadcast with gossip messages. With hundreds of
+// nodes, broadcasting each of ten crashes a second would exhaust every budget.
 #ifndef MEMBERSHIP_EVIDENCE_DISSEMINATOR_H_
 #define MEMBERSHIP_EVIDENCE_DISSEMINATOR_H_
 
@@ -28,8 +27,7 @@
 
 class EvidenceDisseminator {
  public:
-  // Nodes that collect the evidence on one request. Several tolerate the loss
-  // of a node and of a datagram.
+  // For each request. Several tolerate the loss of a node and of a datagram.
   static constexpr size_t kCollectors = 3;
 
   // `ledger` must outlive this object.
@@ -41,8 +39,7 @@
   bool IsFleetWide(base::RequestFingerprint fingerprint) const;
   // Queues the evidence on the request for broadcast.
   void Broadcast(base::RequestFingerprint fingerprint, base::Instant now);
-  // Whether evidence is queued that has not been sent yet, and the earliest
-  // time to send it.
+  // Whether queued evidence is unsent, and the earliest time to send it.
   bool HasUnsent() const { return updates_.HasUnsent(); }
   base::Instant next_flush() const { return next_flush_; }
 
@@ -62,9 +59,8 @@
   // Called when there is no member to send to.
   void PostponeFlush(base::Instant next_flush) { next_flush_ = next_flush; }
 
-  // Adds evidence received from another node. `should_relay` is true if other
-  // nodes may not have it yet. Returns whether any of it was new, or nothing if
-  // it is malformed.
+  // Adds evidence from another node; `should_relay` if others may not have it
+  // yet. Returns whether any of it was new, or nothing if it is malformed.
   std::optional<bool> MergeReceived(std::string_view bytes,
                                     bool should_relay,
                                     base::Instant now);
@@ -75,8 +71,7 @@
  private:
   using Queue = UpdateQueue<base::RequestFingerprint>;
 
-  // Returns whether the ledger has more evidence on the request than was
-  // received.
+  // Whether the ledger has more evidence on the request than `received`.
   bool HasMoreThan(const quarantine::RequestEvidence& received) const;
 
   quarantine::CrashLedger& ledger_;
--- a/src/libs/membership/gossip.cc
+++ b/src/libs/membership/gossip.cc
@@ -11,8 +11,7 @@
 constexpr std::chrono::minutes kLeftRetention(2);
 // A member whose record no node could supply in this time is removed.
 constexpr std::chrono::seconds kRecordTimeout(30);
-// A revision that has not been fetched is reported again after this time, with
-// another member as its source.
+// A revision not fetched in this time is reported again, with another source.
 constexpr std::chrono::milliseconds kRevisionReportInterval(500);
 
 }  // namespace
@@ -208,8 +207,7 @@
     ApplySelfUpdate(now, item);
     return;
   }
-  // Ignored: each node declares a member gone only after its own suspicion
-  // timeout.
+  // Ignored: a node declares members gone only after its own suspicion timeout.
   if (item.state == MemberState::kGone)
     return;
   SharedRecord record;
--- a/src/libs/membership/gossip.h
+++ b/src/libs/membership/gossip.h
@@ -1,8 +1,7 @@
-// Membership and failure detection between the nodes of a fleet: SWIM, adapted
-// to data centres. Most probes go to the local data centre. Membership updates
-// are sent to a few members at once and then piggybacked on pings and acks, and
-// lasting differences between two views are repaired by a pull.
-// docs/design/membership.md explains the design.
+// Membership and failure detection in a fleet: SWIM, adapted to data centres.
+// Most probes go to the local data centre. Updates are sent to a few members at
+// once and then piggybacked on pings and acks; pulls repair lasting differences
+// between two views. docs/design/membership.md explains the design.
 #ifndef MEMBERSHIP_GOSSIP_H_
 #define MEMBERSHIP_GOSSIP_H_
 
@@ -58,11 +57,9 @@
   void Contact(base::Instant now,
                const base::SocketAddress& address,
                GossipOutput& output);
-  // Publishes a changed description of this node; the incarnation and state in
-  // `self` are ignored.
+  // Publishes this node's new description, save the incarnation and state.
   void Update(base::Instant now, const Member& self, GossipOutput& output);
-  // Announces that this node now holds `revision`. Lower revisions than before
-  // are ignored.
+  // Announces that this node holds `revision`; ignored if lower than before.
   void AnnounceRevision(base::Instant now,
                         uint64_t revision,
                         GossipOutput& output);
@@ -74,13 +71,11 @@
   void OnEvacuationsRead(base::Instant now,
                          const evacuation::Evacuations& read,
                          GossipOutput& output);
-  // Announces to a few members that this node leaves. Afterwards, Run() and
-  // Receive() do nothing and AnswerPull() returns an empty string. Contact()
-  // must not be called any more.
+  // Tells a few members that this node leaves. Run() and Receive() then do
+  // nothing, AnswerPull() returns "" and Contact() must not be called.
   void Leave(GossipOutput& output);
 
-  // Returns the response to another node's pull; empty if `request` is
-  // malformed or this node has left.
+  // Returns the response; empty if `request` is malformed or after Leave().
   std::string AnswerPull(base::Instant now, std::string_view request) const;
   void OnPullResponse(base::Instant now,
                       std::string_view response,
@@ -91,8 +86,7 @@
   std::vector<Member> Members() const;
   const MemberTable& table() const { return table_; }
   const GossipCounters& counters() const { return counters_; }
-  // When the last message from another member was received; nothing if none
-  // was.
+  // When the last message from another member was received, if any was.
   std::optional<base::Instant> last_contact() const { return last_contact_; }
   const evacuation::Evacuations& evacuations() const {
     return evacuations_.current();
@@ -115,8 +109,7 @@
     uint32_t origin_sequence;
     base::Instant deadline;
   };
-  // Updates that arrive in datagrams are relayed; those that arrive in pulls
-  // are not.
+  // Updates from datagrams are relayed; those from pulls are not.
   enum class Source { kDatagram, kPull };
 
   // gossip.cc: the view of the members.
@@ -164,8 +157,7 @@
                        GossipOutput& output);
   void FlushEvidence(base::Instant now, GossipOutput& output);
 
-  // gossip_evacuation.cc: evacuated data centres, whose servers get no new
-  // work.
+  // gossip_evacuation.cc: data centres whose servers get no new work.
   void MergeEvacuations(base::Instant now,
                         const evacuation::Evacuations& received,
                         GossipOutput& output);
@@ -230,8 +222,7 @@
   unsigned probe_turn_ = 0;
   std::vector<Probe> probes_;
   std::vector<Relay> relays_;
-  // Members missing from another view, which are probed before they are
-  // suspected.
+  // Members missing from another view, probed before they are suspected.
   std::vector<base::NodeId> doubted_;
   absl::flat_hash_map<base::NodeId, base::Instant> suspicions_;
   absl::flat_hash_map<base::NodeId, base::Instant> remove_at_;
--- a/src/libs/membership/gossip_evacuation.cc
+++ b/src/libs/membership/gossip_evacuation.cc
@@ -17,8 +17,7 @@
     AnnounceEvacuations(now, output);
 }
 
-// Each node relays a change once; every later message carries the current
-// state.
+// Each node relays a change once; later messages carry the current state.
 void Gossip::AnnounceEvacuations(base::Instant now, GossipOutput& output) {
   output.evacuations_changed = true;
   budget_.HasTokens(now);
--- a/src/libs/membership/gossip_evidence.cc
+++ b/src/libs/membership/gossip_evidence.cc
@@ -8,8 +8,7 @@
 namespace chestnutport::membership {
 namespace {
 
-// Bytes of evidence in one message. Receivers of any version reject binary
-// fields longer than kMaxPartSize.
+// Bytes in a message. All versions reject binary fields over kMaxPartSize.
 constexpr size_t kMaxEvidenceSize = 1000;
 
 }  // namespace
@@ -20,7 +19,6 @@
     GossipOutput& output) {
   if (has_left_)
     return;
-  // Requests whose evidence goes to each collector.
   std::map<base::NodeId, std::vector<base::RequestFingerprint>> by_collector;
   for (const base::RequestFingerprint& request : requests) {
     if (evidence_.IsFleetWide(request)) {
@@ -53,8 +51,7 @@
                              GossipOutput& output) {
   for (std::string& part :
        evidence_.EncodeInParts(requests, now, kMaxEvidenceSize)) {
-    // What exceeds the budget is dropped: requests that matter are reported
-    // again with their next crash.
+    // Excess is dropped: what matters is reported again with its next crash.
     if (!evidence_.budget().HasTokens(now))
       return;
     GossipMessage message = MakeMessage(MessageType::kUpdate, {});
--- a/src/libs/membership/gossip_message.h
+++ b/src/libs/membership/gossip_message.h
@@ -35,19 +35,16 @@
   uint32_t sequence = 0;
   base::SocketAddress address;
   std::vector<MemberUpdate> updates;
-  // Evidence on requests that were running when servers crashed, as encoded by
-  // quarantine::EncodeEvidence.
+  // On requests running at crashes; encoded by quarantine::EncodeEvidence.
   std::string evidence;
-  // Digest of all evidence that the sender shares; nothing if the sender runs
-  // an older version.
+  // Of all evidence that the sender shares; nothing from older versions.
   std::optional<uint64_t> evidence_digest;
   // Evacuated data centres known to the sender; empty from older versions.
   evacuation::Evacuations evacuations;
 
   // Returns an upper bound in bytes of what `item` adds to a message.
   static size_t MaxEncodedSize(const MemberUpdate& item);
-  // Upper bound in bytes of a message without updates, evidence and
-  // evacuations.
+  // Upper bound in bytes without updates, evidence and evacuations.
   static constexpr size_t kMaxBaseSize = 104;
   // Upper bound in bytes of this message without updates and evidence.
   size_t SizeWithoutUpdates() const {
--- a/src/libs/membership/gossip_output.h
+++ b/src/libs/membership/gossip_output.h
@@ -40,7 +40,6 @@
   std::optional<ReportedRevision> revision;
   // Whether new evidence was received on requests running at crashes.
   bool evidence_changed = false;
-  // Whether the set of evacuated data centres has changed.
   bool evacuations_changed = false;
 };
 
--- a/src/libs/membership/gossip_probing.cc
+++ b/src/libs/membership/gossip_probing.cc
@@ -35,8 +35,7 @@
   SendWithUpdates(now, from, std::move(ack), output);
 }
 
-// Adds the state of the member unless it is kAlive, so that the member receives
-// the claim and can refute it.
+// Adds the member's state unless it is kAlive, so that it can refute the claim.
 void Gossip::AddUnlessAlive(base::NodeId id, GossipMessage& message) const {
   const MemberEntry* entry = table_.Find(id);
   if (entry && entry->state != MemberState::kAlive)
@@ -131,10 +130,9 @@
   const base::SocketAddress address = absent->record->member.gossip_address;
   if (absent->state == MemberState::kLeft && table_.IsAddressInUse(address))
     return;
-  // No ack is awaited. If the member is reachable, it refutes the claim that it
-  // is gone. If another node has taken its address, that node answers and is
-  // added by its answer; it may have no members yet, so the ping carries the
-  // record of this node.
+  // No ack is awaited. If reachable, the member refutes the claim that it is
+  // gone. A node that has taken its address is added by its answer; it may have
+  // no members yet, so the ping carries the record of this node.
   GossipMessage ping = MakeMessage(MessageType::kPing, absent->id);
   ping.sequence = ++last_sequence_;
   ping.updates.push_back(MakeUpdate(*table_.Find(self_), true));
--- a/src/libs/membership/gossip_sending.cc
+++ b/src/libs/membership/gossip_sending.cc
@@ -105,9 +105,8 @@
   next_flush_ = updates_.HasUnsent() ? budget_.NextAvailable() : now;
 }
 
-// The first receiver is always the ring successor. As each node does so, an
-// update reaches the whole data centre along the ring; the random receivers
-// only speed that up.
+// Each node sends to its ring successor first, so an update reaches the whole
+// data centre along the ring; the random receivers only speed that up.
 void Gossip::FanOut(const GossipMessage& message,
                     ByteRateLimiter& budget,
                     GossipOutput& output) {
--- a/src/libs/membership/member_record.cc
+++ b/src/libs/membership/member_record.cc
@@ -37,7 +37,6 @@
   packer.pack(text);
 }
 
-// Packs the IP address and the port into one number.
 void PackAddress(Packer& packer,
                  Field field,
                  const base::SocketAddress& address) {
--- a/src/libs/membership/member_record.h
+++ b/src/libs/membership/member_record.h
@@ -1,6 +1,5 @@
-// The description that a node publishes of itself, in encoded form. Only the
-// node itself writes its record. Other nodes relay the bytes unchanged, so that
-// fields unknown to an older node are preserved.
+// The encoded description that a node publishes of itself and alone writes.
+// Others relay the bytes unchanged, which preserves fields unknown to them.
 #ifndef MEMBERSHIP_MEMBER_RECORD_H_
 #define MEMBERSHIP_MEMBER_RECORD_H_
 
--- a/src/libs/membership/member_table.cc
+++ b/src/libs/membership/member_table.cc
@@ -183,9 +183,8 @@
   return nullptr;
 }
 
-// Pulled views list the members in the same order on all nodes, so each node
-// starts its round at a random position. Otherwise all nodes would probe the
-// same member at the same time.
+// Pulled views list the members in the same order on all nodes. The random
+// start keeps the nodes from probing the same member at the same time.
 const MemberEntry* MemberTable::NextInFleet(base::Random& random) {
   if (!std::exchange(has_fleet_position_, live_ > 0))
     fleet_position_ = PickIndex(entries_.size(), random);
--- a/src/libs/membership/member_table.h
+++ b/src/libs/membership/member_table.h
@@ -1,5 +1,4 @@
-// All members known to one node, including itself. A member is live if it is
-// alive or suspected.
+// All members known to a node, itself included. Live means alive or suspected.
 #ifndef MEMBERSHIP_MEMBER_TABLE_H_
 #define MEMBERSHIP_MEMBER_TABLE_H_
 
@@ -47,32 +46,26 @@
   size_t live() const { return live_; }
   // Number of members with a record that are gone or have left.
   size_t absent() const { return absent_; }
-  // The live members with a record in this node's data centre, without this
-  // node.
+  // The live members with a record in this node's data centre, without itself.
   const std::vector<base::NodeId>& local() const { return local_; }
 
-  // Returns a random live member, only from this node's data centre if `local`.
-  // This and the other functions that return a pointer return null if there is
-  // no such member.
+  // Returns a random live member; if `local`, of this node's data centre. All
+  // functions that return a pointer return null if there is no such member.
   const MemberEntry* PickLive(bool local, base::Random& random) const;
   const MemberEntry* PickAbsent(base::Random& random) const;
   // Returns whether a live member has this gossip address.
   bool IsAddressInUse(const base::SocketAddress& gossip_address) const;
   // Returns the `count` live members, this node included, with the highest
-  // rendezvous hashes for `key`. Views that differ a little give nearly the
-  // same members.
+  // rendezvous hashes for `key`: nearly the same in views that differ a little.
   std::vector<const MemberEntry*> PickByRendezvousHash(uint64_t key,
                                                        size_t count) const;
-  // Returns the next member to probe in a round through all members in the
-  // state kAlive; if `local`, those of this node's data centre.
+  // Returns the next kAlive member of a round; if `local`, of this data centre.
   const MemberEntry* NextProbeTarget(bool local, base::Random& random);
-  // Returns the first member in the state kAlive after this node in the ring of
-  // ids; if `local`, in the ring of this node's data centre. This node probes
-  // it continuously.
+  // Returns the first kAlive member after this node in the ring of ids; if
+  // `local`, of this data centre. This node probes it continuously.
   const MemberEntry* RingSuccessor(bool local) const;
 
-  // Digests of all live members, in total and by part of the view; equal if two
-  // views are equal.
+  // Digests of all live members, in total and by part; equal for equal views.
   uint64_t digest() const { return digest_; }
   const ViewDigests& digests() const { return digests_; }
   static uint8_t PartOf(base::NodeId id);
--- a/src/libs/membership/pull_message.h
+++ b/src/libs/membership/pull_message.h
@@ -1,6 +1,5 @@
-// Messages that repair differences between two views of the fleet: one node
-// sends the digests of the parts of its view, the other responds with the parts
-// that differ.
+// Messages that repair differences between two views: one node sends digests of
+// the parts of its view, the other responds with the parts that differ.
 #ifndef MEMBERSHIP_PULL_MESSAGE_H_
 #define MEMBERSHIP_PULL_MESSAGE_H_
 
--- a/src/libs/membership/record_cache.h
+++ b/src/libs/membership/record_cache.h
@@ -10,7 +10,6 @@
 
 namespace chestnutport::membership {
 
-// Shared by the cache and the member table.
 using SharedRecord = std::shared_ptr<const MemberRecord>;
 
 class RecordCache {
--- a/src/libs/membership/update_queue.h
+++ b/src/libs/membership/update_queue.h
@@ -8,8 +8,7 @@
 
 namespace chestnutport::membership {
 
-// Identifies the member or the request that an update is about. The content is
-// looked up when the update is sent, so that it is current.
+// On a member or request, whose current content is looked up when sending.
 template <typename Subject>
 struct QueuedUpdate {
   Subject id;
@@ -23,20 +22,17 @@
  public:
   using Item = QueuedUpdate<Subject>;
 
-  // When the queue is full, the oldest updates are dropped; other nodes get
-  // them by pulls.
+  // When full, the oldest updates are dropped; other nodes get them by pulls.
   static constexpr size_t kCapacity = 1024;
 
   void Push(const Subject& id, bool with_record, int retransmissions);
   bool HasUnsent() const { return unsent_ > 0; }
   bool empty() const { return updates_.empty(); }
 
-  // Calls `take(update)` for each unsent update until it returns false, and
-  // marks those taken as sent.
+  // Until `take(update)` returns false, marks each unsent update taken as sent.
   template <typename Take>
   void TakeUnsent(Take take);
-  // Calls `take(update)` for updates in turn until it returns false. Each
-  // update taken uses up one of its retransmissions.
+  // Until `take(update)` returns false, uses up a retransmission each, in turn.
   template <typename Take>
   void TakePiggybacked(Take take);
 
