--- a/src/libs/membership/gossip.h
+++ b/src/libs/membership/gossip.h
@@ -71,8 +71,9 @@
   void OnEvacuationsRead(base::Instant now,
                          const evacuation::Evacuations& read,
                          GossipOutput& output);
-  // Tells a few members that this node leaves. Run() and Receive() then do
-  // nothing, AnswerPull() returns "" and Contact() must not be called.
+  // Announces to a few members that this node leaves. Afterwards, Run() and
+  // Receive() do nothing and AnswerPull() returns an empty string. Contact()
+  // must not be called any more.
   void Leave(GossipOutput& output);
 
   // Returns the response; empty if `request` is malformed or after Leave().
--- a/src/libs/membership/gossip_evidence.cc
+++ b/src/libs/membership/gossip_evidence.cc
@@ -8,7 +8,8 @@
 namespace chestnutport::membership {
 namespace {
 
-// Bytes in a message. All versions reject binary fields over kMaxPartSize.
+// Bytes of evidence in one message. Receivers of any version reject binary
+// fields longer than kMaxPartSize.
 constexpr size_t kMaxEvidenceSize = 1000;
 
 }  // namespace
--- a/src/libs/membership/gossip_message.h
+++ b/src/libs/membership/gossip_message.h
@@ -35,9 +35,11 @@
   uint32_t sequence = 0;
   base::SocketAddress address;
   std::vector<MemberUpdate> updates;
-  // On requests running at crashes; encoded by quarantine::EncodeEvidence.
+  // Evidence on requests that were running when servers crashed, as encoded by
+  // quarantine::EncodeEvidence.
   std::string evidence;
-  // Of all evidence that the sender shares; nothing from older versions.
+  // Digest of all evidence that the sender shares; nothing if the sender runs
+  // an older version.
   std::optional<uint64_t> evidence_digest;
   // Evacuated data centres known to the sender; empty from older versions.
   evacuation::Evacuations evacuations;
--- a/src/libs/membership/gossip_options.h
+++ b/src/libs/membership/gossip_options.h
@@ -40,14 +40,17 @@
   size_t leave_fan_out = 8;  // Members notified by a leaving node.
   // Rate limit of a node, not counting the fixed part of pings and acks.
   size_t bytes_per_second = 5000;
-  // Enough if some 300 nodes start at once: each causes an update to three
-  // members with a record of about 110 bytes. Others are delayed and pulled.
+  // Burst limit. It suffices for a simultaneous start of some 300 nodes, each
+  // of which causes an update that is sent to three members with a record of
+  // about 110 bytes. Updates beyond it are delayed and have to be pulled.
   size_t burst_bytes = 160000;
-  // For evidence on crashes. One with 12 running requests costs the node beside
-  // the server 4 kB in a small fleet, 6 kB in a large one, and others nothing.
+  // Rate and burst limits for evidence on crashes. A crash with 12 running
+  // requests costs the node beside the server 4 kB in a small fleet and 6 kB in
+  // a large one, and other nodes nothing.
   size_t evidence_bytes_per_second = 2000;
   size_t evidence_burst_bytes = 20000;
-  // Limited separately: the rate of acks depends on the pings of other nodes.
+  // Acks have a limit of their own, since their rate depends on the pings of
+  // other nodes.
   size_t acks_per_second = 100;
 };
 
--- a/src/libs/membership/gossip_pulling.cc
+++ b/src/libs/membership/gossip_pulling.cc
@@ -28,8 +28,9 @@
   pull_from_ = message.sender;
 }
 
-// After a partition heals, half of the members lack evidence. A difference ends
-// not with some equal digests, but when none differed for divergence_grace.
+// After a partition heals, half of the members have evidence that the other
+// half lacks. Equal digests of some members therefore do not end a difference;
+// it ends when no message has shown one for divergence_grace.
 void Gossip::CompareEvidence(base::Instant now, const GossipMessage& message) {
   const uint64_t own = evidence_.digest();
   if (message.evidence_digest.value_or(own) == own)
--- a/src/libs/membership/member_update_codec.h
+++ b/src/libs/membership/member_update_codec.h
@@ -31,7 +31,8 @@
   return {object.via.bin.ptr, object.via.bin.size};
 }
 
-// Returns the elements; throws type_error unless an array of `least` or more.
+// Returns the elements of an array; throws msgpack::type_error if `object` is
+// not an array of at least `least` elements.
 inline const msgpack::object* ReadArray(const msgpack::object& object,
                                         uint32_t least) {
   if (object.type != msgpack::type::ARRAY || object.via.array.size < least)
--- a/src/libs/membership/update_queue.h
+++ b/src/libs/membership/update_queue.h
@@ -8,7 +8,8 @@
 
 namespace chestnutport::membership {
 
-// On a member or request, whose current content is looked up when sending.
+// Identifies the member or the request that an update is about. The content is
+// looked up when the update is sent, so that it is current.
 template <typename Subject>
 struct QueuedUpdate {
   Subject id;
@@ -29,10 +30,12 @@
   bool HasUnsent() const { return unsent_ > 0; }
   bool empty() const { return updates_.empty(); }
 
-  // Until `take(update)` returns false, marks each unsent update taken as sent.
+  // Calls `take(update)` for each unsent update until it returns false, and
+  // marks those taken as sent.
   template <typename Take>
   void TakeUnsent(Take take);
-  // Until `take(update)` returns false, uses up a retransmission each, in turn.
+  // Calls `take(update)` for updates in turn until it returns false. Each
+  // update taken uses up one of its retransmissions.
   template <typename Take>
   void TakePiggybacked(Take take);
 
